--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -27,7 +27,7 @@
  * order names the fencing number and how many orders the engine had begun, so that one
  * that is late or doubled is refused by the engine. Confined to the event loop.
  */
-final class LayerKeeper {
+final class LayerReconciler {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -82,7 +82,7 @@
 
 	private boolean stopped;
 
-	LayerKeeper(RouterContext router, EngineControl engines, Leadership leadership) {
+	LayerReconciler(RouterContext router, EngineControl engines, Leadership leadership) {
 		this.loop = router.loop();
 		this.router = router;
 		this.engines = engines;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -20,7 +20,7 @@
 
 	private final DirectoryKeeper directoryKeeper;
 
-	private final LayerKeeper layerKeeper;
+	private final LayerReconciler layerReconciler;
 
 	private final Leadership leadership;
 
@@ -34,17 +34,17 @@
 	 * @param settings this router's name and address
 	 * @param configurationKeeper knows the configuration in force
 	 * @param directoryKeeper knows the list of upstreams
-	 * @param layerKeeper knows which engines are slow, while this router leads
+	 * @param layerReconciler knows which engines are slow, while this router leads
 	 * @param leadership whether it does
 	 * @param era the era of the store
 	 */
 	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationKeeper configurationKeeper,
-			DirectoryKeeper directoryKeeper, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
+			DirectoryKeeper directoryKeeper, LayerReconciler layerReconciler, Leadership leadership, StoreEra era) {
 		this.router = router;
 		this.settings = settings;
 		this.configurationKeeper = configurationKeeper;
 		this.directoryKeeper = directoryKeeper;
-		this.layerKeeper = layerKeeper;
+		this.layerReconciler = layerReconciler;
 		this.leadership = leadership;
 		this.era = era;
 		this.load = new ToldLoad(router.directory());
@@ -59,7 +59,7 @@
 				this.settings.failureDomain(), sequence, answer, version,
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
-				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
+				this.layerReconciler.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
 				this.directoryKeeper.state(), this.era.current(), this.configurationKeeper.returnAgeMs());
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -115,7 +115,7 @@
 
 	private final Leadership leadership;
 
-	private final LayerKeeper layerKeeper;
+	private final LayerReconciler layerReconciler;
 
 	private final Map<String, FleetRetryBudget> budgets = new HashMap<>();
 
@@ -167,14 +167,14 @@
 				ports.store().era(), this.random);
 		this.leadership = new Leadership(this.loop, ports.store(), settings.name(), this.ticker,
 				() -> peers().hasLeader(nowMs()));
-		this.layerKeeper = new LayerKeeper(this, ports.engines(), this.leadership);
+		this.layerReconciler = new LayerReconciler(this, ports.engines(), this.leadership);
 		this.limits = new UpstreamLimits(this, this.random);
-		this.chooser = new TargetChooser(this.directory, this.peers, this.limits, this.layerKeeper.paces(),
+		this.chooser = new TargetChooser(this.directory, this.peers, this.limits, this.layerReconciler.paces(),
 				settings.failureDomain());
 		this.directoryKeeper = new DirectoryKeeper(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
 		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationKeeper,
-				this.directoryKeeper, this.layerKeeper, this.leadership, ports.store().era()));
+				this.directoryKeeper, this.layerReconciler, this.leadership, ports.store().era()));
 		ports.store().era().onReturn(this::storeReturned);
 	}
 
@@ -186,7 +186,7 @@
 		this.configurationKeeper.start();
 		this.directoryKeeper.start();
 		this.leadership.start();
-		this.layerKeeper.start();
+		this.layerReconciler.start();
 		Channel peerChannel = this.peerLink.start(this.settings.peers());
 		this.closer.register(peerChannel::close);
 		PeerDocuments documents = new PeerDocuments(this.configurationKeeper::document,
@@ -265,7 +265,7 @@
 
 	private void engineNews() {
 		this.peerLink.tellNow();
-		this.layerKeeper.plan();
+		this.layerReconciler.plan();
 	}
 
 	private void initializeCaller(SocketChannel channel) {
@@ -493,7 +493,7 @@
 		@Override
 		public void changed() {
 			listenWhenKnown();
-			Router.this.layerKeeper.plan();
+			Router.this.layerReconciler.plan();
 		}
 
 		@Override
