--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -28,7 +28,7 @@
  * suspect each {@link #SUSPECT_PAUSE_MS}, so that a slow fleet isn't slowed by questions.
  * Confined to the event loop.
  */
-final class EngineWatch {
+final class EngineMonitor {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -84,7 +84,7 @@
 	 * @param news is run when an engine becomes suspect or lost
 	 * @param leads whether this router plans repairs, and so has to know of any loss
 	 */
-	EngineWatch(RouterContext router, EngineControl engines, Runnable news, BooleanSupplier leads) {
+	EngineMonitor(RouterContext router, EngineControl engines, Runnable news, BooleanSupplier leads) {
 		this.leads = leads;
 		this.router = router;
 		this.engines = engines;
@@ -287,38 +287,38 @@
 		private long firstAskedMs;
 
 		void ask(String engineId) {
-			UpstreamState state = EngineWatch.this.router.directory().find(engineId);
+			UpstreamState state = EngineMonitor.this.router.directory().find(engineId);
 			if (state != null) {
 				ask(state.upstream());
 			}
 		}
 
 		void ask(Upstream upstream) {
-			long nowMs = EngineWatch.this.router.nowMs();
-			Suspicion suspicion = EngineWatch.this.suspicions.get(upstream.incarnation());
+			long nowMs = EngineMonitor.this.router.nowMs();
+			Suspicion suspicion = EngineMonitor.this.suspicions.get(upstream.incarnation());
 			boolean urgent = suspicion != null && suspicion.unanswered < LOST_AFTER;
-			Long askedMs = EngineWatch.this.askedAtMs.get(upstream.incarnation());
+			Long askedMs = EngineMonitor.this.askedAtMs.get(upstream.incarnation());
 			boolean askedLately = askedMs != null && nowMs - askedMs < (urgent ? SUSPECT_PAUSE_MS : ASK_PAUSE_MS);
-			if (askedLately || !EngineWatch.this.budget.take(nowMs, EngineWatch.this.router.peers().sharers(nowMs))) {
+			if (askedLately || !EngineMonitor.this.budget.take(nowMs, EngineMonitor.this.router.peers().sharers(nowMs))) {
 				return;
 			}
-			EngineWatch.this.askedAtMs.put(upstream.incarnation(), nowMs);
-			EngineWatch.this.askedAtMs.values().removeIf((atMs) -> nowMs - atMs > 10 * ASK_PAUSE_MS);
+			EngineMonitor.this.askedAtMs.put(upstream.incarnation(), nowMs);
+			EngineMonitor.this.askedAtMs.values().removeIf((atMs) -> nowMs - atMs > 10 * ASK_PAUSE_MS);
 			if (this.asked == 0) {
 				this.firstAskedMs = nowMs;
-				EngineWatch.this.router.loop().schedule(this::judge, ANSWER_BESIDE_OTHERS_MS, TimeUnit.MILLISECONDS);
+				EngineMonitor.this.router.loop().schedule(this::judge, ANSWER_BESIDE_OTHERS_MS, TimeUnit.MILLISECONDS);
 			}
 			this.asked++;
 			this.waiting.put(upstream.incarnation(), upstream);
-			EngineWatch.this.engines.report(upstream.address(), ANSWER_MS, (report) -> take(upstream, nowMs, report));
+			EngineMonitor.this.engines.report(upstream.address(), ANSWER_MS, (report) -> take(upstream, nowMs, report));
 		}
 
 		private void take(Upstream upstream, long askedMs, Optional<EngineReport> report) {
 			boolean open = this.waiting.remove(upstream.incarnation()) != null;
-			if (report.isPresent() && !EngineWatch.this.router.directory().confirm(upstream, report.get())) {
+			if (report.isPresent() && !EngineMonitor.this.router.directory().confirm(upstream, report.get())) {
 				this.answers++;
-				EngineWatch.this.suspicions.remove(upstream.incarnation());
-				EngineWatch.this.news.run();
+				EngineMonitor.this.suspicions.remove(upstream.incarnation());
+				EngineMonitor.this.news.run();
 				return;
 			}
 			boolean holds = report.isPresent() && (report.get().held() != null || report.get().loading());
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LookTimer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LookTimer.java
@@ -5,7 +5,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * When {@link EngineWatch} looks at its streams next, and how late this process has been
+ * When {@link EngineMonitor} looks at its streams next, and how late this process has been
  * with it.
  * <p>
  * Invariants: at most one look is to come, the earliest that was asked for; none comes of
