--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -146,7 +146,7 @@
 		this.sent = true;
 		this.progressAtMs = this.session.router().nowMs();
 		if (!this.target.path().isEmpty()) {
-			this.session.router().watch().add(this);
+			this.session.router().engineMonitor().add(this);
 			this.load.readingBegan();
 		}
 		this.session.history().sentTo(this.first);
@@ -472,7 +472,7 @@
 
 	private void settle() {
 		this.ended = true;
-		this.session.router().watch().remove(this);
+		this.session.router().engineMonitor().remove(this);
 		this.load.readingEnded();
 		this.load.ended();
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -158,7 +158,7 @@
 		List<Engine> state = new ArrayList<>();
 		for (UpstreamState upstream : this.router.directory().staying(service.name())) {
 			EngineKind kind = profile.kinds().get(upstream.upstream().kind());
-			if (kind != null && !this.router.watch().lost(upstream.upstream().incarnation())) {
+			if (kind != null && !this.router.engineMonitor().lost(upstream.upstream().incarnation())) {
 				state.add(engine(upstream.upstream(), kind));
 			}
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -57,7 +57,7 @@
 		long version = (this.router.configuration() != null) ? this.router.configuration().version() : -1;
 		return new PeerStatus(this.settings.name(), Addresses.text(this.settings.peers()),
 				this.settings.failureDomain(), sequence, answer, version,
-				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
+				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.engineMonitor().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
 				this.layerReconciler.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
 				this.directoryKeeper.state(), this.era.current(), this.configurationKeeper.returnAgeMs());
@@ -71,7 +71,7 @@
 			this.configurationKeeper.heardOfReturn(status.storeReturnAgeMs());
 		}
 		peers.heard(status, this.router.nowMs());
-		status.suspects().forEach(this.router.watch()::hearsay);
+		status.suspects().forEach(this.router.engineMonitor()::hearsay);
 		this.configurationKeeper.heard(status.version(), peers.provedAtMs(status), status.address());
 		this.directoryKeeper.heard(status.address(), status.list(), peers.listProvedAtMs(status));
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -99,7 +99,7 @@
 
 	private final PeerLink peerLink;
 
-	private final EngineMonitor watch;
+	private final EngineMonitor engineMonitor;
 
 	private final CrashGuard crashGuard;
 
@@ -158,7 +158,7 @@
 		this.peers = new PeerTable(Addresses.text(settings.peers()), this.random);
 		this.pool = new UpstreamPool(this.loop, this.dialect, this.ticker);
 		this.directory = new UpstreamDirectory((upstream) -> this.pool.drop(upstream.incarnation()));
-		this.watch = new EngineMonitor(this, ports.engines(), this::engineNews, () -> leadership().holds());
+		this.engineMonitor = new EngineMonitor(this, ports.engines(), this::engineNews, () -> leadership().holds());
 		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().tellNow());
 		this.store = ports.store();
 		this.engines = ports.engines();
@@ -429,8 +429,8 @@
 	}
 
 	@Override
-	public EngineMonitor watch() {
-		return this.watch;
+	public EngineMonitor engineMonitor() {
+		return this.engineMonitor;
 	}
 
 	@Override
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RouterContext.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RouterContext.java
@@ -134,7 +134,7 @@
 	 * Notices engines that don't answer.
 	 * @return the watch
 	 */
-	EngineMonitor watch();
+	EngineMonitor engineMonitor();
 
 	/**
 	 * Reports of and orders to engines.
