--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -126,7 +126,7 @@
 	 * streams of all.
 	 * @param incarnation the engine; what was said of an earlier start of it is void
 	 */
-	void hearsay(String incarnation) {
+	void suspectReported(String incarnation) {
 		UpstreamState state = this.router.directory().find(incarnation);
 		if (state == null || state.upstream().held() == null) {
 			return;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -382,7 +382,7 @@
 		if (faulty != null) {
 			faulty.avoidUntil(untilMs);
 			this.history.failedAt(faulty.incarnation());
-			this.router.engineMonitor().hearsay(faulty.incarnation());
+			this.router.engineMonitor().suspectReported(faulty.incarnation());
 			return;
 		}
 		Upstream first = ended.target().first();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -71,7 +71,7 @@
 			this.configurationKeeper.heardOfReturn(status.storeReturnAgeMs());
 		}
 		peers.heard(status, this.router.nowMs());
-		status.suspects().forEach(this.router.engineMonitor()::hearsay);
+		status.suspects().forEach(this.router.engineMonitor()::suspectReported);
 		this.configurationKeeper.heard(status.version(), peers.provedAtMs(status), status.address());
 		this.directoryKeeper.heard(status.address(), status.list(), peers.listProvedAtMs(status));
 	}
