--- a/whinjunction-router/src/main/java/io/whinjunction/router/LookTimer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CheckTimer.java
@@ -11,7 +11,7 @@
  * Invariants: at most one look is to come, the earliest that was asked for; none comes of
  * itself, so that a watch without streams wakes nobody. Confined to the event loop.
  */
-final class LookTimer {
+final class CheckTimer {
 
 	/**
 	 * The pause between two looks while a stream is late or an engine suspect, in
@@ -43,7 +43,7 @@
 	 * @param router the clock and the event loop
 	 * @param look looks, and asks for the next look where there has to be one
 	 */
-	LookTimer(RouterContext router, Runnable look) {
+	CheckTimer(RouterContext router, Runnable look) {
 		this.router = router;
 		this.look = look;
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -71,7 +71,7 @@
 
 	private final Map<String, Suspicion> suspicions = new HashMap<>();
 
-	private final LookTimer timer;
+	private final CheckTimer timer;
 
 	private final Map<String, Long> askedAtMs = new HashMap<>();
 
@@ -89,12 +89,12 @@
 		this.router = router;
 		this.engines = engines;
 		this.news = news;
-		this.timer = new LookTimer(router, this::look);
+		this.timer = new CheckTimer(router, this::look);
 	}
 
 	void add(Attempt stream) {
 		this.streams.add(stream);
-		this.timer.lookWithin(LookTimer.LONGEST_MS);
+		this.timer.lookWithin(CheckTimer.LONGEST_MS);
 	}
 
 	void remove(Attempt stream) {
@@ -148,7 +148,7 @@
 			return;
 		}
 		double untilLateMs = untilLateMs();
-		this.timer.lookWithin(this.suspicions.isEmpty() ? untilLateMs : LookTimer.SHORTEST_MS);
+		this.timer.lookWithin(this.suspicions.isEmpty() ? untilLateMs : CheckTimer.SHORTEST_MS);
 		if (untilLateMs > 0 && this.suspicions.isEmpty() && !anyOverEnded()) {
 			// Nearly every look finds nothing, and looks come many times a second.
 			return;
@@ -189,7 +189,7 @@
 
 	private double untilLateMs() {
 		long nowMs = this.router.nowMs();
-		double untilLateMs = LookTimer.LONGEST_MS;
+		double untilLateMs = CheckTimer.LONGEST_MS;
 		for (Attempt stream : this.streams) {
 			untilLateMs = Math.min(untilLateMs, StallRules.untilLateMs(pause(stream, List.of(), nowMs)));
 		}
@@ -250,7 +250,7 @@
 		}
 		Suspicion suspicion = this.suspicions.computeIfAbsent(upstream.incarnation(), (id) -> new Suspicion(upstream));
 		suspicion.unanswered++;
-		this.timer.lookWithin(LookTimer.SHORTEST_MS);
+		this.timer.lookWithin(CheckTimer.SHORTEST_MS);
 		state.avoidUntil(this.router.nowMs() + AVOID_MS);
 		if (suspicion.unanswered <= LOST_AFTER) {
 			logger.atWarning()
