--- a/whinjunction-router/src/main/java/io/whinjunction/router/CheckTimer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CheckTimer.java
@@ -53,7 +53,7 @@
 	 * @param pauseMs after how long, in milliseconds; brought between the shortest and
 	 * the longest pause
 	 */
-	void lookWithin(double pauseMs) {
+	void checkWithin(double pauseMs) {
 		long waitMs = Math.clamp((long) Math.ceil(pauseMs), SHORTEST_MS, LONGEST_MS);
 		long atMs = this.router.nowMs() + waitMs;
 		if (this.next != null && this.nextAtMs <= atMs) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -94,7 +94,7 @@
 
 	void add(Attempt stream) {
 		this.streams.add(stream);
-		this.timer.lookWithin(CheckTimer.LONGEST_MS);
+		this.timer.checkWithin(CheckTimer.LONGEST_MS);
 	}
 
 	void remove(Attempt stream) {
@@ -148,7 +148,7 @@
 			return;
 		}
 		double untilLateMs = untilLateMs();
-		this.timer.lookWithin(this.suspicions.isEmpty() ? untilLateMs : CheckTimer.SHORTEST_MS);
+		this.timer.checkWithin(this.suspicions.isEmpty() ? untilLateMs : CheckTimer.SHORTEST_MS);
 		if (untilLateMs > 0 && this.suspicions.isEmpty() && !anyOverEnded()) {
 			// Nearly every look finds nothing, and looks come many times a second.
 			return;
@@ -250,7 +250,7 @@
 		}
 		Suspicion suspicion = this.suspicions.computeIfAbsent(upstream.incarnation(), (id) -> new Suspicion(upstream));
 		suspicion.unanswered++;
-		this.timer.lookWithin(CheckTimer.SHORTEST_MS);
+		this.timer.checkWithin(CheckTimer.SHORTEST_MS);
 		state.avoidUntil(this.router.nowMs() + AVOID_MS);
 		if (suspicion.unanswered <= LOST_AFTER) {
 			logger.atWarning()
