--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -75,7 +75,7 @@
 
 	private final Map<String, Long> askedAtMs = new HashMap<>();
 
-	private final QuestionBudget budget = new QuestionBudget();
+	private final QueryBudget budget = new QueryBudget();
 
 	/**
 	 * A watch.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/QuestionBudget.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/QueryBudget.java
@@ -13,7 +13,7 @@
  * Invariant: in any span, at most {@link #AT_ONCE} questions and the span's part of the
  * fleet's rate. Confined to one thread.
  */
-final class QuestionBudget {
+final class QueryBudget {
 
 	/** The questions of one look: all engines of the longest path. */
 	static final int AT_ONCE = PathFinder.MOST_HOPS;
--- a/whinjunction-router/src/test/java/io/whinjunction/router/QuestionBudgetTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/QueryBudgetTests.java
@@ -7,13 +7,13 @@
 /**
  * How many questions routers ask engines when everything is late at once.
  */
-class QuestionBudgetTests {
+class QueryBudgetTests {
 
 	@Test
 	void aWholePathMayBeAskedAtOnce() {
-		QuestionBudget budget = new QuestionBudget();
+		QueryBudget budget = new QueryBudget();
 
-		assertThat(asked(budget, 1000, 1000, 9)).isEqualTo(QuestionBudget.AT_ONCE);
+		assertThat(asked(budget, 1000, 1000, 9)).isEqualTo(QueryBudget.AT_ONCE);
 	}
 
 	// 88 routers with late streams on every path asked 580 times a second, and the
@@ -23,7 +23,7 @@
 	void aFleetWhoseStreamsAreAllLateKeepsItsSumOfQuestions() {
 		int sum = 0;
 		for (int router = 0; router < 88; router++) {
-			sum += asked(new QuestionBudget(), 1000, 11_000, 88);
+			sum += asked(new QueryBudget(), 1000, 11_000, 88);
 		}
 
 		assertThat(sum / 10).isLessThan(650);
@@ -31,10 +31,10 @@
 
 	@Test
 	void aSmallFleetAsksAsMuchAsItsPathsNeed() {
-		assertThat(asked(new QuestionBudget(), 1000, 2000, 9)).isGreaterThan(50);
+		assertThat(asked(new QueryBudget(), 1000, 2000, 9)).isGreaterThan(50);
 	}
 
-	private static int asked(QuestionBudget budget, long fromMs, long toMs, int routers) {
+	private static int asked(QueryBudget budget, long fromMs, long toMs, int routers) {
 		int asked = 0;
 		for (long nowMs = fromMs; nowMs <= toMs; nowMs += 20) {
 			for (int question = 0; question < 100; question++) {
