--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -26,7 +26,7 @@
 
 	private final StoreEra era;
 
-	private final ToldLoad load;
+	private final ReportedLoad load;
 
 	/**
 	 * A side.
@@ -47,7 +47,7 @@
 		this.layerReconciler = layerReconciler;
 		this.leadership = leadership;
 		this.era = era;
-		this.load = new ToldLoad(router.directory());
+		this.load = new ReportedLoad(router.directory());
 	}
 
 	@Override
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ToldLoad.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ReportedLoad.java
@@ -10,7 +10,7 @@
  * of questions, which is a small part of how old the word is when others use it. Confined
  * to the event loop.
  */
-final class ToldLoad {
+final class ReportedLoad {
 
 	/** Bounds a message: engines of a failure domain that a router may use. */
 	private static final int MOST_ENGINES = 48;
@@ -25,7 +25,7 @@
 	 * Nothing was told yet.
 	 * @param directory the engines
 	 */
-	ToldLoad(UpstreamDirectory directory) {
+	ReportedLoad(UpstreamDirectory directory) {
 		this.directory = directory;
 	}
 
