--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerCodec.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerCodec.java
@@ -80,7 +80,7 @@
 				changes.version().era());
 	}
 
-	private static UpstreamLimitWord encoded(NamedLimit limit) {
+	private static UpstreamLimitWord encoded(ReportedLimit limit) {
 		return new UpstreamLimitWord(limit.upstream(), limit.perSecond(), limit.ageMs());
 	}
 
@@ -131,7 +131,7 @@
 	private static PeerMessage decoded(UpstreamLimitWords words) {
 		return new PeerMessage.Limits(words.getWords()
 			.stream()
-			.map((word) -> new NamedLimit(word.getUpstream(), word.getPerSecond(), word.getAgeMs()))
+			.map((word) -> new ReportedLimit(word.getUpstream(), word.getPerSecond(), word.getAgeMs()))
 			.toList());
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessage.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessage.java
@@ -33,7 +33,7 @@
 	 *
 	 * @param limits the latest word on each upstream, as far as the sender has heard
 	 */
-	record Limits(List<NamedLimit> limits) implements PeerMessage {
+	record Limits(List<ReportedLimit> limits) implements PeerMessage {
 
 		public Limits {
 			limits = List.copyOf(limits);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/NamedLimit.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ReportedLimit.java
@@ -8,5 +8,5 @@
  * limit any more
  * @param ageMs how long ago it said so when this was told, in milliseconds
  */
-record NamedLimit(String upstream, double perSecond, long ageMs) {
+record ReportedLimit(String upstream, double perSecond, long ageMs) {
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -89,9 +89,9 @@
 	 * Takes what other routers heard.
 	 * @param told the latest word on each upstream there
 	 */
-	void heard(List<NamedLimit> told) {
+	void heard(List<ReportedLimit> told) {
 		long nowMs = this.router.nowMs();
-		for (NamedLimit limit : told) {
+		for (ReportedLimit limit : told) {
 			boolean sound = limit.ageMs() >= 0 && !Double.isNaN(limit.perSecond());
 			boolean known = this.router.directory().find(limit.upstream()) != null;
 			Limit held = this.limits.get(limit.upstream());
@@ -152,7 +152,7 @@
 	 * What other routers are told.
 	 * @return the latest words, those that were said last in front
 	 */
-	List<NamedLimit> told() {
+	List<ReportedLimit> told() {
 		if (this.limits.isEmpty()) {
 			return List.of();
 		}
@@ -160,9 +160,9 @@
 		return this.limits.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().perSecond >= 0 || nowMs - entry.getValue().saidAtMs < LIFTED_TOLD_MS)
-			.map((entry) -> new NamedLimit(entry.getKey(), entry.getValue().perSecond,
+			.map((entry) -> new ReportedLimit(entry.getKey(), entry.getValue().perSecond,
 					nowMs - entry.getValue().saidAtMs))
-			.sorted(Comparator.comparingLong(NamedLimit::ageMs))
+			.sorted(Comparator.comparingLong(ReportedLimit::ageMs))
 			.limit(MOST_TOLD)
 			.toList();
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -86,7 +86,7 @@
 	@Test
 	void wordsOnLimitsSurviveTheirCodec() {
 		PeerMessage.Limits limits = new PeerMessage.Limits(
-				List.of(new NamedLimit("e-1@5", 3.7, 12), new NamedLimit("e-2", -1, 0)));
+				List.of(new ReportedLimit("e-1@5", 3.7, 12), new ReportedLimit("e-2", -1, 0)));
 		PeerCodec codec = new PeerCodec();
 
 		assertThat(codec.decode(codec.encode(limits))).contains(limits);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
@@ -122,7 +122,7 @@
 		List<UpstreamLimits> fleet = fleet(2);
 		fleet.getFirst().heard(UPSTREAM, head(200, 0.5));
 		this.nowMs += 100;
-		List<NamedLimit> old = fleet.getFirst().told();
+		List<ReportedLimit> old = fleet.getFirst().told();
 		this.nowMs += 100;
 		fleet.getLast().heard(UPSTREAM, head(200, 0.7));
 		fleet.getLast().heard(UPSTREAM, head(200, -1));
@@ -136,7 +136,7 @@
 	void wordsOnUpstreamsThatAreGoneAreDropped() {
 		UpstreamLimits limits = fleet(1).getFirst();
 		limits.heard("e-gone", head(200, 0.5));
-		limits.heard(List.of(new NamedLimit("e-unknown", 4, 0), new NamedLimit(UPSTREAM, 4, -1)));
+		limits.heard(List.of(new ReportedLimit("e-unknown", 4, 0), new ReportedLimit(UPSTREAM, 4, -1)));
 		limits.sweep();
 
 		assertThat(limits.told()).isEmpty();
