--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -337,7 +337,7 @@
 	@Override
 	public void onHead(UpstreamHead received, HttpResponse response) {
 		this.head = received;
-		this.session.router().limits().heard(this.first, received);
+		this.session.router().limits().received(this.first, received);
 		this.session.router().crashGuard().answered(this.first);
 		HttpHeaders headers = HopHeaders.withoutThem(response.headers());
 		boolean stream = this.session.route().kind() == RequestKind.STREAMING && received.success();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -107,7 +107,7 @@
 
 	@Override
 	public void heard(PeerMessage.Limits limits) {
-		this.router.limits().heard(limits.limits());
+		this.router.limits().received(limits.limits());
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -77,7 +77,7 @@
 	 * @param upstream the upstream's incarnation
 	 * @param head the answer's head
 	 */
-	void heard(String upstream, UpstreamHead head) {
+	void received(String upstream, UpstreamHead head) {
 		// Only an answer of the upstream's own work shows that it is in no need any more.
 		boolean lifted = head.limitPerSecond() < 0 && head.success() && this.limits.containsKey(upstream);
 		if (head.limitPerSecond() >= 0 || lifted) {
@@ -89,7 +89,7 @@
 	 * Takes what other routers heard.
 	 * @param told the latest word on each upstream there
 	 */
-	void heard(List<ReportedLimit> told) {
+	void received(List<ReportedLimit> told) {
 		long nowMs = this.router.nowMs();
 		for (ReportedLimit limit : told) {
 			boolean sound = limit.ageMs() >= 0 && !Double.isNaN(limit.perSecond());
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
@@ -38,7 +38,7 @@
 	@CsvSource({ "1, 4", "7, 4", "7, 0.5", "95, 0.5", "95, 3.7", "95, 20", "390, 4" })
 	void aFleetSendsNoMoreThanTheLimitAndUsesMostOfIt(int routers, double perSecond) {
 		List<UpstreamLimits> fleet = fleet(routers);
-		fleet.forEach((limits) -> limits.heard(UPSTREAM, head(200, perSecond)));
+		fleet.forEach((limits) -> limits.received(UPSTREAM, head(200, perSecond)));
 		fleet.forEach((limits) -> limits.allows(UPSTREAM));
 		this.nowMs += IDLE_MS;
 		hearEachOther();
@@ -65,7 +65,7 @@
 	@Test
 	void anUpstreamThatNamesNoLimitTakesAll() {
 		UpstreamLimits limits = fleet(7).getFirst();
-		limits.heard(UPSTREAM, head(200, -1));
+		limits.received(UPSTREAM, head(200, -1));
 
 		assertThat(limits.allows(UPSTREAM)).isTrue();
 		assertThat(limits.told()).isEmpty();
@@ -74,13 +74,13 @@
 	@Test
 	void aLimitHoldsUntilAnAnswerOfItsOwnWorkNamesNone() {
 		UpstreamLimits limits = fleet(1).getFirst();
-		limits.heard(UPSTREAM, head(200, 0.5));
+		limits.received(UPSTREAM, head(200, 0.5));
 		use(limits);
 		this.nowMs++;
-		limits.heard(UPSTREAM, head(503, -1));
+		limits.received(UPSTREAM, head(503, -1));
 		assertThat(limits.allows(UPSTREAM)).isFalse();
 
-		limits.heard(UPSTREAM, head(200, -1));
+		limits.received(UPSTREAM, head(200, -1));
 
 		assertThat(limits.allows(UPSTREAM)).isTrue();
 	}
@@ -91,7 +91,7 @@
 	@Test
 	void anUpstreamThatTakesNothingIsAskedNowAndThen() {
 		UpstreamLimits limits = fleet(1).getFirst();
-		limits.heard(UPSTREAM, head(200, 0));
+		limits.received(UPSTREAM, head(200, 0));
 		use(limits);
 
 		assertThat(limits.allows(UPSTREAM)).isFalse();
@@ -102,14 +102,14 @@
 	@Test
 	void theWordOfAnotherRouterHoldsHereAndSoDoesItsEnd() {
 		List<UpstreamLimits> fleet = fleet(2);
-		fleet.getFirst().heard(UPSTREAM, head(200, 0.5));
-		fleet.getLast().heard(fleet.getFirst().told());
+		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
+		fleet.getLast().received(fleet.getFirst().told());
 		use(fleet.getLast());
 		assertThat(fleet.getLast().allows(UPSTREAM)).isFalse();
 		this.nowMs += 100;
 
-		fleet.getFirst().heard(UPSTREAM, head(200, -1));
-		fleet.getLast().heard(fleet.getFirst().told());
+		fleet.getFirst().received(UPSTREAM, head(200, -1));
+		fleet.getLast().received(fleet.getFirst().told());
 
 		assertThat(fleet.getLast().allows(UPSTREAM)).isTrue();
 	}
@@ -120,14 +120,14 @@
 	@Test
 	void anOlderWordChangesNothing() {
 		List<UpstreamLimits> fleet = fleet(2);
-		fleet.getFirst().heard(UPSTREAM, head(200, 0.5));
+		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
 		this.nowMs += 100;
 		List<ReportedLimit> old = fleet.getFirst().told();
 		this.nowMs += 100;
-		fleet.getLast().heard(UPSTREAM, head(200, 0.7));
-		fleet.getLast().heard(UPSTREAM, head(200, -1));
+		fleet.getLast().received(UPSTREAM, head(200, 0.7));
+		fleet.getLast().received(UPSTREAM, head(200, -1));
 
-		fleet.getLast().heard(old);
+		fleet.getLast().received(old);
 
 		assertThat(fleet.getLast().count()).isZero();
 	}
@@ -135,8 +135,8 @@
 	@Test
 	void wordsOnUpstreamsThatAreGoneAreDropped() {
 		UpstreamLimits limits = fleet(1).getFirst();
-		limits.heard("e-gone", head(200, 0.5));
-		limits.heard(List.of(new ReportedLimit("e-unknown", 4, 0), new ReportedLimit(UPSTREAM, 4, -1)));
+		limits.received("e-gone", head(200, 0.5));
+		limits.received(List.of(new ReportedLimit("e-unknown", 4, 0), new ReportedLimit(UPSTREAM, 4, -1)));
 		limits.sweep();
 
 		assertThat(limits.told()).isEmpty();
