--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -93,7 +93,7 @@
 		if (!crashes.isEmpty()) {
 			news.add(new PeerMessage.CrashReports(crashes));
 		}
-		List<ReportedLimit> limits = this.router.limits().told();
+		List<ReportedLimit> limits = this.router.limits().limitsToReport();
 		if (!limits.isEmpty()) {
 			news.add(new PeerMessage.Limits(limits));
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -152,7 +152,7 @@
 	 * What other routers are told.
 	 * @return the latest words, those that were said last in front
 	 */
-	List<ReportedLimit> told() {
+	List<ReportedLimit> limitsToReport() {
 		if (this.limits.isEmpty()) {
 			return List.of();
 		}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
@@ -68,7 +68,7 @@
 		limits.received(UPSTREAM, head(200, -1));
 
 		assertThat(limits.allows(UPSTREAM)).isTrue();
-		assertThat(limits.told()).isEmpty();
+		assertThat(limits.limitsToReport()).isEmpty();
 	}
 
 	@Test
@@ -103,13 +103,13 @@
 	void theWordOfAnotherRouterHoldsHereAndSoDoesItsEnd() {
 		List<UpstreamLimits> fleet = fleet(2);
 		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
-		fleet.getLast().received(fleet.getFirst().told());
+		fleet.getLast().received(fleet.getFirst().limitsToReport());
 		use(fleet.getLast());
 		assertThat(fleet.getLast().allows(UPSTREAM)).isFalse();
 		this.nowMs += 100;
 
 		fleet.getFirst().received(UPSTREAM, head(200, -1));
-		fleet.getLast().received(fleet.getFirst().told());
+		fleet.getLast().received(fleet.getFirst().limitsToReport());
 
 		assertThat(fleet.getLast().allows(UPSTREAM)).isTrue();
 	}
@@ -122,7 +122,7 @@
 		List<UpstreamLimits> fleet = fleet(2);
 		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
 		this.nowMs += 100;
-		List<ReportedLimit> old = fleet.getFirst().told();
+		List<ReportedLimit> old = fleet.getFirst().limitsToReport();
 		this.nowMs += 100;
 		fleet.getLast().received(UPSTREAM, head(200, 0.7));
 		fleet.getLast().received(UPSTREAM, head(200, -1));
@@ -139,7 +139,7 @@
 		limits.received(List.of(new ReportedLimit("e-unknown", 4, 0), new ReportedLimit(UPSTREAM, 4, -1)));
 		limits.sweep();
 
-		assertThat(limits.told()).isEmpty();
+		assertThat(limits.limitsToReport()).isEmpty();
 	}
 
 	// A router of a fleet that is no sender sends nothing, whatever it has saved up.
