--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineControl.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineControl.java
@@ -19,7 +19,7 @@
 	 * @param limitMs how long the answer may take, in milliseconds
 	 * @param done takes the report, or empty where none came
 	 */
-	void report(String address, long limitMs, Consumer<Optional<EngineReport>> done);
+	void queryStatus(String address, long limitMs, Consumer<Optional<EngineReport>> done);
 
 	/**
 	 * Orders an engine to hold layers.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -310,7 +310,7 @@
 			}
 			this.asked++;
 			this.waiting.put(upstream.incarnation(), upstream);
-			EngineMonitor.this.engines.report(upstream.address(), ANSWER_MS, (report) -> take(upstream, nowMs, report));
+			EngineMonitor.this.engines.queryStatus(upstream.address(), ANSWER_MS, (report) -> take(upstream, nowMs, report));
 		}
 
 		private void take(Upstream upstream, long askedMs, Optional<EngineReport> report) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -109,7 +109,7 @@
 	}
 
 	private void survey(Upstream upstream) {
-		this.engines.report(upstream.address(), REPORT_MS, (report) -> {
+		this.engines.queryStatus(upstream.address(), REPORT_MS, (report) -> {
 			logger.atInfo()
 				.log("event=engine-state engine=%s domain=%s kind=%s listed=%s report=\"%s\"", upstream.incarnation(),
 						upstream.failureDomain(), upstream.kind(), upstream.held(), report.orElse(null));
@@ -240,7 +240,7 @@
 	private void order(ModelProfile profile, Placement placement) {
 		Engine engine = placement.engine();
 		this.ordered.put(engine.id(), new Ordered(placement.layers(), this.router.nowMs()));
-		this.engines.report(engine.address(), REPORT_MS, (report) -> {
+		this.engines.queryStatus(engine.address(), REPORT_MS, (report) -> {
 			UpstreamState state = this.router.directory().find(engine.id());
 			if (state == null
 					|| (report.isPresent() && !this.router.directory().confirm(state.upstream(), report.get()))) {
