--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -76,7 +76,7 @@
 
 	private final Map<String, Long> relievedAtMs = new HashMap<>();
 
-	private final Map<String, Double> paces = new HashMap<>();
+	private final Map<String, Double> slowdowns = new HashMap<>();
 
 	private final Map<String, Settling> settling = new HashMap<>();
 
@@ -98,7 +98,7 @@
 	private void survey() {
 		RoutingConfiguration configuration = this.router.configuration();
 		if (this.stopped || configuration == null || !this.leadership.holds()) {
-			this.paces.clear();
+			this.slowdowns.clear();
 			return;
 		}
 		for (RoutedService service : configuration.services()) {
@@ -114,15 +114,15 @@
 				.log("event=engine-state engine=%s domain=%s kind=%s listed=%s report=\"%s\"", upstream.incarnation(),
 						upstream.failureDomain(), upstream.kind(), upstream.held(), report.orElse(null));
 			if (report.isPresent() && !this.router.directory().confirm(upstream, report.get())) {
-				this.paces.remove(upstream.incarnation());
+				this.slowdowns.remove(upstream.incarnation());
 				return;
 			}
 			double pace = report.map(EngineReport::pace).orElse(1.0);
 			if (pace > SLOW_PACE) {
-				this.paces.put(upstream.incarnation(), pace);
+				this.slowdowns.put(upstream.incarnation(), pace);
 			}
 			else {
-				this.paces.remove(upstream.incarnation());
+				this.slowdowns.remove(upstream.incarnation());
 			}
 		});
 	}
@@ -131,8 +131,8 @@
 	 * How much slower than usual engines work, by name, as far as it was surveyed.
 	 * @return a live view; empty where another router leads
 	 */
-	Map<String, Double> paces() {
-		return this.paces;
+	Map<String, Double> slowdowns() {
+		return this.slowdowns;
 	}
 
 	void stop() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -59,7 +59,7 @@
 				this.settings.failureDomain(), sequence, answer, version,
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.engineMonitor().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
-				this.layerReconciler.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
+				this.layerReconciler.slowdowns(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
 				this.directoryKeeper.state(), this.era.current(), this.configurationKeeper.returnAgeMs());
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -169,7 +169,7 @@
 				() -> peers().hasLeader(nowMs()));
 		this.layerReconciler = new LayerReconciler(this, ports.engines(), this.leadership);
 		this.limits = new UpstreamLimits(this, this.random);
-		this.chooser = new TargetChooser(this.directory, this.peers, this.limits, this.layerReconciler.paces(),
+		this.chooser = new TargetChooser(this.directory, this.peers, this.limits, this.layerReconciler.slowdowns(),
 				settings.failureDomain());
 		this.directoryKeeper = new DirectoryKeeper(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
