--- a/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
@@ -96,7 +96,7 @@
 	}
 
 	/** The store has come back from an older copy: whoever led does so no more. */
-	void storeReturned() {
+	void storeRestored() {
 		this.term.returned(this.ticker.nowMs());
 		noteLeading(false);
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -255,7 +255,7 @@
 	// there
 	// itself is written again, at a time of its own.
 	private void storeReturned() {
-		this.leadership.storeReturned();
+		this.leadership.storeRestored();
 		this.configurationKeeper.storeReturned();
 		this.directoryKeeper.storeReturned();
 		this.crashGuard.records().storeReturned();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
@@ -265,7 +265,7 @@
 			this.list = new DirectoryKeeper(context(), seen, new Talk(), () -> this.leadership.holds(), DRAIN_MS,
 					StoreReturnModelTests.this.random);
 			this.era.onReturn(() -> {
-				this.leadership.storeReturned();
+				this.leadership.storeRestored();
 				this.configuration.storeReturned();
 				this.list.storeReturned();
 			});
