--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -158,7 +158,7 @@
 		Round round = new Round();
 		StallRules.standing(pauses.values()).forEach(round::ask);
 		pauses.forEach((stream, pause) -> {
-			if (StallRules.late(pause)) {
+			if (StallRules.lateAlone(pause)) {
 				lookInto(stream, pause, round);
 			}
 		});
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
@@ -64,7 +64,7 @@
 	 * @param pause the stream's pause
 	 * @return whether it is late by itself
 	 */
-	static boolean late(Pause pause) {
+	static boolean lateAlone(Pause pause) {
 		return pause.quietMs() > aloneMs(pause);
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
@@ -34,7 +34,7 @@
 				pauses.add(pause(sinceDeathMs + (long) (stream * GAP_MS / 8), "first", "dead"));
 			}
 			boolean asked = together ? StallRules.standing(pauses).contains("dead")
-					: StallRules.late(pauses.getFirst());
+					: StallRules.lateAlone(pauses.getFirst());
 			if (asked) {
 				return sinceDeathMs;
 			}
@@ -68,7 +68,7 @@
 		Pause reading = new Pause(List.of("a"), false, Double.MAX_VALUE, 300);
 
 		assertThat(StallRules.standing(List.of(reading, reading, reading))).isEmpty();
-		assertThat(StallRules.late(reading)).isFalse();
+		assertThat(StallRules.lateAlone(reading)).isFalse();
 		assertThat(StallRules.waits(reading)).isTrue();
 	}
 
