--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -216,7 +216,7 @@
 
 	private void moveFromSuspects(Map<Attempt, StallRules.Pause> pauses) {
 		pauses.forEach((stream, pause) -> {
-			if (StallRules.waits(pause)) {
+			if (StallRules.shouldFailOver(pause)) {
 				suspectOf(stream).ifPresent(stream::stalled);
 			}
 		});
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
@@ -74,7 +74,7 @@
 	 * @param pause the stream's pause
 	 * @return whether it waits for the engine
 	 */
-	static boolean waits(Pause pause) {
+	static boolean shouldFailOver(Pause pause) {
 		return pause.quietMs() > Math.clamp(MOVE_GAPS * pause.usualGapMs(), LEAST_MOVE_MS, MOST_MOVE_MS);
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
@@ -69,7 +69,7 @@
 
 		assertThat(StallRules.standing(List.of(reading, reading, reading))).isEmpty();
 		assertThat(StallRules.lateAlone(reading)).isFalse();
-		assertThat(StallRules.waits(reading)).isTrue();
+		assertThat(StallRules.shouldFailOver(reading)).isTrue();
 	}
 
 	// All drafts of a zone begin anew twice after a restart: a router with a cold
@@ -105,8 +105,8 @@
 
 	@Test
 	void aStreamThatStillGetsEventsStaysWhereItIs() {
-		assertThat(StallRules.waits(pause(40, "a"))).isFalse();
-		assertThat(StallRules.waits(pause(80, "a"))).isTrue();
+		assertThat(StallRules.shouldFailOver(pause(40, "a"))).isFalse();
+		assertThat(StallRules.shouldFailOver(pause(80, "a"))).isTrue();
 	}
 
 	private static Pause pause(long quietMs, String... engines) {
