--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -156,7 +156,7 @@
 		Map<Attempt, StallRules.Pause> pauses = pauses();
 		moveFromSuspects(pauses);
 		Round round = new Round();
-		StallRules.standing(pauses.values()).forEach(round::ask);
+		StallRules.stalledEngines(pauses.values()).forEach(round::ask);
 		pauses.forEach((stream, pause) -> {
 			if (StallRules.lateAlone(pause)) {
 				lookInto(stream, pause, round);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
@@ -97,7 +97,7 @@
 	 * @param pauses the pauses of all streams
 	 * @return the engines' names
 	 */
-	static Set<String> standing(Collection<Pause> pauses) {
+	static Set<String> stalledEngines(Collection<Pause> pauses) {
 		Map<String, Integer> late = new HashMap<>();
 		Set<String> moving = new HashSet<>();
 		for (Pause pause : pauses) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
@@ -33,7 +33,7 @@
 				// had its event just then.
 				pauses.add(pause(sinceDeathMs + (long) (stream * GAP_MS / 8), "first", "dead"));
 			}
-			boolean asked = together ? StallRules.standing(pauses).contains("dead")
+			boolean asked = together ? StallRules.stalledEngines(pauses).contains("dead")
 					: StallRules.lateAlone(pauses.getFirst());
 			if (asked) {
 				return sinceDeathMs;
@@ -47,7 +47,7 @@
 	void anEngineThatMovesOneStreamIsNotAsked() {
 		List<Pause> pauses = List.of(pause(120, "a"), pause(120, "a"), pause(120, "a"), pause(20, "a"));
 
-		assertThat(StallRules.standing(pauses)).isEmpty();
+		assertThat(StallRules.stalledEngines(pauses)).isEmpty();
 	}
 
 	@Test
@@ -55,19 +55,19 @@
 		List<Pause> pauses = List.of(pause(120, "dead", "lives"), pause(120, "dead", "lives"),
 				pause(120, "dead", "lives"), pause(10, "lives", "other"));
 
-		assertThat(StallRules.standing(pauses)).containsExactly("dead");
+		assertThat(StallRules.stalledEngines(pauses)).containsExactly("dead");
 	}
 
 	@Test
 	void twoLateStreamsAreNoSignYet() {
-		assertThat(StallRules.standing(List.of(pause(120, "a"), pause(120, "a")))).isEmpty();
+		assertThat(StallRules.stalledEngines(List.of(pause(120, "a"), pause(120, "a")))).isEmpty();
 	}
 
 	@Test
 	void aStreamWithoutEventsSaysNothing() {
 		Pause reading = new Pause(List.of("a"), false, Double.MAX_VALUE, 300);
 
-		assertThat(StallRules.standing(List.of(reading, reading, reading))).isEmpty();
+		assertThat(StallRules.stalledEngines(List.of(reading, reading, reading))).isEmpty();
 		assertThat(StallRules.lateAlone(reading)).isFalse();
 		assertThat(StallRules.shouldFailOver(reading)).isTrue();
 	}
