--- a/whinjunction-router/src/main/java/io/whinjunction/router/CheckTimer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CheckTimer.java
@@ -5,31 +5,37 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * When {@link EngineMonitor} looks at its streams next, and how late this process has been
- * with it.
+ * Schedules the stream checks of {@link EngineMonitor} and measures how late this process
+ * runs them.
  * <p>
- * Invariants: at most one look is to come, the earliest that was asked for; none comes of
- * itself, so that a watch without streams wakes nobody. Confined to the event loop.
+ * Invariants: at most one check is scheduled, the earliest that was requested. No check
+ * is scheduled without a request, so that a monitor without streams causes no wake-ups.
+ * Confined to the event loop.
  */
 final class CheckTimer {
 
 	/**
-	 * The pause between two looks while a stream is late or an engine suspect, in
+	 * The interval between two checks while a stream is late or an engine is suspect, in
 	 * milliseconds: a tenth of a promised pause.
 	 */
-	static final long SHORTEST_MS = 20;
+	static final long MIN_INTERVAL_MS = 20;
 
-	/** The longest pause between two looks, in milliseconds, while there are streams. */
-	static final long LONGEST_MS = 100;
+	/**
+	 * The maximum interval between two checks while there are streams, in milliseconds.
+	 */
+	static final long MAX_INTERVAL_MS = 100;
 
-	/** Delays of this process count for this long, in milliseconds: a question's time. */
+	/**
+	 * How long a measured delay of this process counts, in milliseconds: about the
+	 * duration of a status query.
+	 */
 	private static final long DELAY_REMEMBERED_MS = 150;
 
 	private final RouterContext router;
 
-	private final Runnable look;
+	private final Runnable check;
 
-	/** The look to come; {@code null} while there is nothing to look at. */
+	/** The scheduled check; {@code null} if none is needed. */
 	private ScheduledFuture<?> next;
 
 	private long nextAtMs;
@@ -39,23 +45,23 @@
 	private long delayedAtMs;
 
 	/**
-	 * A timer without a look to come.
+	 * Creates a timer without a scheduled check.
 	 * @param router the clock and the event loop
-	 * @param look looks, and asks for the next look where there has to be one
+	 * @param check runs a check, and requests the next one if one is needed
 	 */
-	CheckTimer(RouterContext router, Runnable look) {
+	CheckTimer(RouterContext router, Runnable check) {
 		this.router = router;
-		this.look = look;
+		this.check = check;
 	}
 
 	/**
-	 * Has a look come, unless one comes sooner.
-	 * @param pauseMs after how long, in milliseconds; brought between the shortest and
-	 * the longest pause
+	 * Schedules a check unless an earlier one is scheduled.
+	 * @param withinMs the delay in milliseconds; clamped to the minimum and maximum
+	 * interval
 	 */
-	void checkWithin(double pauseMs) {
-		long waitMs = Math.clamp((long) Math.ceil(pauseMs), SHORTEST_MS, LONGEST_MS);
-		long atMs = this.router.nowMs() + waitMs;
+	void checkWithin(double withinMs) {
+		long clampedMs = Math.clamp((long) Math.ceil(withinMs), MIN_INTERVAL_MS, MAX_INTERVAL_MS);
+		long atMs = this.router.nowMs() + clampedMs;
 		if (this.next != null && this.nextAtMs <= atMs) {
 			return;
 		}
@@ -63,22 +69,22 @@
 			this.next.cancel(false);
 		}
 		this.nextAtMs = atMs;
-		this.next = this.router.loop().schedule(this::begin, waitMs, TimeUnit.MILLISECONDS);
+		this.next = this.router.loop().schedule(this::runCheck, clampedMs, TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * How late this process has been lately: what it measures of others is off by as
-	 * much.
-	 * @return the largest delay of the last looks, in milliseconds
+	 * Returns how late this process recently ran its checks. Its measurements of others
+	 * may be wrong by as much.
+	 * @return the largest delay of recent checks, in milliseconds
 	 */
 	long delayMs() {
 		return this.delayMs;
 	}
 
-	private void begin() {
+	private void runCheck() {
 		measureDelay();
 		this.next = null;
-		this.look.run();
+		this.check.run();
 	}
 
 	private void measureDelay() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineLoad.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineLoad.java
@@ -3,13 +3,13 @@
 import io.whinjunction.chain.Hop;
 
 /**
- * What one attempt counts for at the upstreams it goes to, so that others are chosen
- * while these are full.
+ * Accounts for the load of one attempt at the upstreams of its path, so that other
+ * upstreams are preferred while these are full.
  * <p>
- * Invariants: each {@link #began()} has one {@link #ended()}, which takes back what was
- * counted, also after the attempt was {@link #moved} to another path; the prompt counts
- * as unread at most once. An upstream that left meanwhile is passed over: its counts went
- * with it. Confined to the event loop.
+ * Invariants: each {@link #began()} is matched by one {@link #ended()}, which subtracts
+ * exactly what was added, also after the attempt was {@link #moved} to another path. The
+ * prompt is counted as unread at most once. An upstream that has been removed is skipped,
+ * since its counts were removed with it. Confined to the event loop.
  */
 final class EngineLoad {
 
@@ -21,15 +21,16 @@
 
 	private Target target;
 
-	/** Whether the prompt counts as unread at the engines of the path. */
+	/** Whether the prompt is counted as unread at the engines of the path. */
 	private boolean reading;
 
 	/**
-	 * The load of an attempt that counts for nothing yet.
+	 * Creates the load of an attempt that is not counted yet.
 	 * @param directory the upstreams
-	 * @param target where the attempt goes
-	 * @param promptTokens tokens that the engines have to read
-	 * @param expectedTokens tokens that the request is expected to have at its end
+	 * @param target the target of the attempt
+	 * @param promptTokens the number of prompt tokens that the engines have to read
+	 * @param expectedTokens the number of tokens that the request is expected to have
+	 * when it completes
 	 */
 	EngineLoad(UpstreamDirectory directory, Target target, int promptTokens, int expectedTokens) {
 		this.directory = directory;
@@ -38,34 +39,37 @@
 		this.expectedTokens = expectedTokens;
 	}
 
-	/** The request counts at the upstreams from now. */
+	/** Starts counting the request at the upstreams. */
 	void began() {
 		count(true);
 	}
 
-	/** The request doesn't count any more. */
+	/** Stops counting the request. */
 	void ended() {
 		count(false);
 	}
 
 	/**
-	 * The request counts at another path. Its prompt must have been read, since unread
-	 * tokens would later be taken back from the engines of the new path, which never had
-	 * them.
-	 * @param elsewhere the new path
+	 * Counts the request at another path. The prompt must have been read: otherwise the
+	 * unread tokens would later be subtracted from the engines of the new path, to which
+	 * they were never added.
+	 * @param newTarget the new path
 	 */
-	void moved(Target elsewhere) {
+	void moved(Target newTarget) {
 		count(false);
-		this.target = elsewhere;
+		this.target = newTarget;
 		count(true);
 	}
 
-	/** The engines of the path have the prompt to read. */
+	/** Counts the prompt as unread at the engines of the path. */
 	void readingBegan() {
 		countReading(true);
 	}
 
-	/** The first event came, or none will; does nothing where that was counted. */
+	/**
+	 * Stops counting the prompt as unread, because the first event arrived or none will.
+	 * Does nothing if the prompt is not counted.
+	 */
 	void readingEnded() {
 		countReading(false);
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -16,54 +16,64 @@
 import io.whinjunction.chain.Hop;
 
 /**
- * Notices engines that are dead, cut off or empty before the list of upstreams does.
+ * Detects engines that have crashed, are unreachable or hold no layers before the list of
+ * upstreams shows it.
  * <p>
- * The failure it is there for: an engine in the middle of a path dies, every stream over
- * it stands still for seconds, and the list shows it only after its heartbeats are
- * missed. Engines whose streams stand still ({@link StallRules}) are asked; one that
- * doesn't answer, or no longer holds its layers, is left alone by all routers, and the
- * streams that wait for it go on elsewhere.
+ * Guards against long stalls after an engine in the middle of a path crashes: every
+ * stream over it stalls for seconds, and the list shows the crash only after the engine's
+ * heartbeats were missed. Engines whose streams are stalled ({@link StallRules}) are sent
+ * a status query. An engine that does not reply, or no longer holds its layers, is
+ * avoided by all routers for a while, and the streams that wait for it fail over.
  * <p>
- * Invariant: an engine is asked at most once each {@link #ASK_PAUSE_MS}, and while it is
- * suspect each {@link #SUSPECT_PAUSE_MS}, so that a slow fleet isn't slowed by questions.
- * Confined to the event loop.
+ * Invariant: an engine is queried at most once per {@link #QUERY_INTERVAL_MS}, and while
+ * it is suspect once per {@link #SUSPECT_QUERY_INTERVAL_MS}, so that status queries do
+ * not slow a slow fleet down further. Confined to the event loop.
  */
 final class EngineMonitor {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** An engine answers in a few milliseconds; in this time even a slowed one does. */
-	private static final long ANSWER_MS = 80;
+	/**
+	 * The time limit for a reply, in milliseconds. An engine replies within a few
+	 * milliseconds, and within this time even if it is slowed down.
+	 */
+	private static final long QUERY_TIMEOUT_MS = 80;
 
 	/**
-	 * An engine that is silent for this long, in milliseconds, when most of those that
-	 * were asked with it have answered, is taken for silent: it is not this router that
-	 * is slow.
+	 * The time, in milliseconds, after which an engine is considered silent if most of
+	 * the engines queried with it have replied: their replies show that this router
+	 * itself is not slow.
 	 */
-	private static final long ANSWER_BESIDE_OTHERS_MS = 40;
+	private static final long EARLY_QUERY_TIMEOUT_MS = 40;
 
-	private static final long ASK_PAUSE_MS = 400;
+	private static final long QUERY_INTERVAL_MS = 400;
 
 	/**
-	 * The pause before a suspect engine is asked again, in milliseconds: the second
-	 * silence has its layers loaded elsewhere, which takes most of a second.
+	 * The interval between status queries to a suspect engine, in milliseconds. It is
+	 * short because the second missing reply causes the engine's layers to be loaded
+	 * elsewhere, which takes most of a second.
 	 */
-	private static final long SUSPECT_PAUSE_MS = 120;
+	private static final long SUSPECT_QUERY_INTERVAL_MS = 120;
 
-	/** How long an engine is left alone after each question that it did not answer. */
-	private static final long AVOID_MS = 1500;
+	/**
+	 * How long an engine is avoided after each unanswered status query, in milliseconds.
+	 */
+	private static final long BACKOFF_MS = 1500;
 
-	/** Suspicions of others are believed this long, in milliseconds. */
-	private static final long HEARSAY_MS = 700;
+	/**
+	 * How long an engine is avoided after a peer or an engine reported it, in
+	 * milliseconds.
+	 */
+	private static final long REPORTED_BACKOFF_MS = 700;
 
-	/** Questions without an answer after which an engine is replaced. */
-	private static final int LOST_AFTER = 2;
+	/** The number of unanswered status queries after which an engine is replaced. */
+	private static final int LOST_AFTER_UNANSWERED = 2;
 
 	private final RouterContext router;
 
 	private final EngineControl engines;
 
-	private final Runnable news;
+	private final Runnable onChange;
 
 	private final BooleanSupplier leads;
 
@@ -73,28 +83,29 @@
 
 	private final CheckTimer timer;
 
-	private final Map<String, Long> askedAtMs = new HashMap<>();
+	private final Map<String, Long> queriedAtMs = new HashMap<>();
 
 	private final QueryBudget budget = new QueryBudget();
 
 	/**
-	 * A watch.
+	 * Creates a monitor without streams.
 	 * @param router the directory and the clock
-	 * @param engines how engines are asked
-	 * @param news is run when an engine becomes suspect or lost
-	 * @param leads whether this router plans repairs, and so has to know of any loss
+	 * @param engines sends the status queries
+	 * @param onChange is run when an engine becomes suspect or lost
+	 * @param leads whether this router plans repairs and therefore has to detect the loss
+	 * of any engine
 	 */
-	EngineMonitor(RouterContext router, EngineControl engines, Runnable news, BooleanSupplier leads) {
+	EngineMonitor(RouterContext router, EngineControl engines, Runnable onChange, BooleanSupplier leads) {
 		this.leads = leads;
 		this.router = router;
 		this.engines = engines;
-		this.news = news;
-		this.timer = new CheckTimer(router, this::look);
+		this.onChange = onChange;
+		this.timer = new CheckTimer(router, this::check);
 	}
 
 	void add(Attempt stream) {
 		this.streams.add(stream);
-		this.timer.checkWithin(CheckTimer.LONGEST_MS);
+		this.timer.checkWithin(CheckTimer.MAX_INTERVAL_MS);
 	}
 
 	void remove(Attempt stream) {
@@ -102,17 +113,17 @@
 	}
 
 	/**
-	 * Whether an engine has left several questions unanswered.
-	 * @param engineId the engine's name
-	 * @return whether its layers should be held by another
+	 * Returns whether an engine left several status queries unanswered.
+	 * @param engineId the incarnation of the engine
+	 * @return whether another engine should hold its layers
 	 */
 	boolean lost(String engineId) {
 		Suspicion suspicion = this.suspicions.get(engineId);
-		return suspicion != null && suspicion.unanswered >= LOST_AFTER;
+		return suspicion != null && suspicion.unanswered >= LOST_AFTER_UNANSWERED;
 	}
 
 	/**
-	 * Engines that this router itself has found silent.
+	 * Returns the engines that this router itself found silent.
 	 * @return their incarnations
 	 */
 	List<String> suspects() {
@@ -120,46 +131,48 @@
 	}
 
 	/**
-	 * Hears from another router, or from an engine, that an engine is silent. It is left
-	 * alone for a while, and asked where this router has to know; until it has found the
-	 * engine silent itself, its streams stay: one mistake of one router would move the
-	 * streams of all.
-	 * @param incarnation the engine; what was said of an earlier start of it is void
+	 * Handles a report of a peer or of an engine that an engine is silent. The engine is
+	 * avoided for a while, and queried if this router plans repairs or has a stream over
+	 * it. Streams stay until this router itself has found the engine silent: otherwise
+	 * one mistake of one router would move the streams of all routers.
+	 * @param incarnation the incarnation of the engine; a report about an earlier
+	 * incarnation is ignored
 	 */
 	void suspectReported(String incarnation) {
 		UpstreamState state = this.router.directory().find(incarnation);
 		if (state == null || state.upstream().held() == null) {
 			return;
 		}
-		state.avoidUntil(this.router.nowMs() + HEARSAY_MS);
-		if (this.leads.getAsBoolean() || passedByOwn(incarnation)) {
-			new Round().ask(state.upstream());
+		state.avoidUntil(this.router.nowMs() + REPORTED_BACKOFF_MS);
+		if (this.leads.getAsBoolean() || usedByOwnStream(incarnation)) {
+			new Round().query(state.upstream());
 		}
 	}
 
-	// Whoever neither plans repairs nor has a stream there only leaves the engine alone:
-	// otherwise each router of a large fleet would ask each engine that any one suspects.
-	private boolean passedByOwn(String incarnation) {
+	// A router that neither plans repairs nor has a stream over the engine only avoids
+	// it: otherwise each router of a large fleet would query each engine that any
+	// router suspects.
+	private boolean usedByOwnStream(String incarnation) {
 		return this.streams.stream().anyMatch((stream) -> stream.target().engineIds().contains(incarnation));
 	}
 
-	private void look() {
+	private void check() {
 		if (this.streams.isEmpty() && this.suspicions.isEmpty()) {
 			return;
 		}
 		double untilLateMs = untilLateMs();
-		this.timer.checkWithin(this.suspicions.isEmpty() ? untilLateMs : CheckTimer.SHORTEST_MS);
-		if (untilLateMs > 0 && this.suspicions.isEmpty() && !anyOverEnded()) {
-			// Nearly every look finds nothing, and looks come many times a second.
+		this.timer.checkWithin(this.suspicions.isEmpty() ? untilLateMs : CheckTimer.MIN_INTERVAL_MS);
+		if (untilLateMs > 0 && this.suspicions.isEmpty() && !anyOverEndedEngine()) {
+			// Nearly all checks find nothing, and checks run many times a second.
 			return;
 		}
 		Map<Attempt, StallRules.Pause> pauses = pauses();
-		moveFromSuspects(pauses);
+		failOverFromSuspects(pauses);
 		Round round = new Round();
-		StallRules.stalledEngines(pauses.values()).forEach(round::ask);
+		StallRules.stalledEngines(pauses.values()).forEach(round::query);
 		pauses.forEach((stream, pause) -> {
 			if (StallRules.lateAlone(pause)) {
-				lookInto(stream, pause, round);
+				queryPath(stream, pause, round);
 			}
 		});
 		for (Suspicion suspicion : List.copyOf(this.suspicions.values())) {
@@ -167,13 +180,14 @@
 				this.suspicions.remove(suspicion.upstream.incarnation());
 			}
 			else {
-				round.ask(suspicion.upstream);
+				round.query(suspicion.upstream);
 			}
 		}
 	}
 
-	// Starts that have ended are remembered for good, and soon no stream is over one.
-	private boolean anyOverEnded() {
+	// The directory remembers ended incarnations permanently, while soon no stream is
+	// over one.
+	private boolean anyOverEndedEngine() {
 		if (!this.router.directory().anyEnded()) {
 			return false;
 		}
@@ -189,7 +203,7 @@
 
 	private double untilLateMs() {
 		long nowMs = this.router.nowMs();
-		double untilLateMs = CheckTimer.LONGEST_MS;
+		double untilLateMs = CheckTimer.MAX_INTERVAL_MS;
 		for (Attempt stream : this.streams) {
 			untilLateMs = Math.min(untilLateMs, StallRules.untilLateMs(pause(stream, List.of(), nowMs)));
 		}
@@ -198,9 +212,9 @@
 
 	private Map<Attempt, StallRules.Pause> pauses() {
 		long nowMs = this.router.nowMs();
-		// The shortest prompts first: a stream that goes on elsewhere has its prompt read
-		// anew there, one after the other, and so most of them go on within the pause
-		// that callers are promised.
+		// Streams with the shortest prompts come first: the engines of the new path
+		// read the prompts of the moved streams one after the other, and in this order
+		// most streams resume within the pause that callers are promised.
 		List<Attempt> ordered = new ArrayList<>(this.streams);
 		ordered.sort(Comparator.comparingInt(Attempt::promptTokens));
 		Map<Attempt, StallRules.Pause> pauses = new LinkedHashMap<>();
@@ -214,7 +228,7 @@
 		return new StallRules.Pause(engineIds, stream.gapsKnown(), stream.usualGapMs(), nowMs - stream.progressAtMs());
 	}
 
-	private void moveFromSuspects(Map<Attempt, StallRules.Pause> pauses) {
+	private void failOverFromSuspects(Map<Attempt, StallRules.Pause> pauses) {
 		pauses.forEach((stream, pause) -> {
 			if (StallRules.shouldFailOver(pause)) {
 				suspectOf(stream).ifPresent(stream::stalled);
@@ -232,17 +246,17 @@
 			.findFirst();
 	}
 
-	private void lookInto(Attempt stream, StallRules.Pause pause, Round round) {
+	private void queryPath(Attempt stream, StallRules.Pause pause, Round round) {
 		for (Hop hop : stream.target().path()) {
 			if (this.router.directory().find(hop.engine().id()) == null) {
 				stream.stalled(hop.engine().address());
 				return;
 			}
 		}
-		pause.engineIds().forEach(round::ask);
+		pause.engineIds().forEach(round::query);
 	}
 
-	private void silent(Upstream upstream, boolean answered) {
+	private void onSilent(Upstream upstream, boolean replied) {
 		UpstreamState state = this.router.directory().find(upstream.incarnation());
 		if (state == null) {
 			this.suspicions.remove(upstream.incarnation());
@@ -250,18 +264,18 @@
 		}
 		Suspicion suspicion = this.suspicions.computeIfAbsent(upstream.incarnation(), (id) -> new Suspicion(upstream));
 		suspicion.unanswered++;
-		this.timer.checkWithin(CheckTimer.SHORTEST_MS);
-		state.avoidUntil(this.router.nowMs() + AVOID_MS);
-		if (suspicion.unanswered <= LOST_AFTER) {
+		this.timer.checkWithin(CheckTimer.MIN_INTERVAL_MS);
+		state.avoidUntil(this.router.nowMs() + BACKOFF_MS);
+		if (suspicion.unanswered <= LOST_AFTER_UNANSWERED) {
 			logger.atWarning()
 				.log("event=engine-suspect engine=%s address=%s unanswered=%d answered=%s", upstream.incarnation(),
-						upstream.address(), suspicion.unanswered, answered);
-			this.news.run();
-			moveFromSuspects(pauses());
+						upstream.address(), suspicion.unanswered, replied);
+			this.onChange.run();
+			failOverFromSuspects(pauses());
 		}
 	}
 
-	private void works(Upstream upstream) {
+	private void onWorking(Upstream upstream) {
 		UpstreamState state = this.router.directory().find(upstream.incarnation());
 		Suspicion cleared = this.suspicions.remove(upstream.incarnation());
 		if (cleared != null && state != null) {
@@ -271,78 +285,81 @@
 		}
 	}
 
-	private boolean conclusive(long askedMs, long limitMs) {
-		return StallRules.conclusive(this.router.nowMs() - askedMs, limitMs, this.timer.delayMs());
+	private boolean conclusive(long queriedMs, long limitMs) {
+		return StallRules.conclusive(this.router.nowMs() - queriedMs, limitMs, this.timer.delayMs());
 	}
 
-	/** Engines that are asked at the same moment; confined to the event loop. */
+	/** Engines that are queried at the same moment; confined to the event loop. */
 	private final class Round {
 
-		private final Map<String, Upstream> waiting = new HashMap<>();
+		private final Map<String, Upstream> pending = new HashMap<>();
 
-		private int asked;
+		private int queried;
 
-		private int answers;
+		private int replies;
 
-		private long firstAskedMs;
+		private long firstQueriedMs;
 
-		void ask(String engineId) {
+		void query(String engineId) {
 			UpstreamState state = EngineMonitor.this.router.directory().find(engineId);
 			if (state != null) {
-				ask(state.upstream());
+				query(state.upstream());
 			}
 		}
 
-		void ask(Upstream upstream) {
+		void query(Upstream upstream) {
 			long nowMs = EngineMonitor.this.router.nowMs();
 			Suspicion suspicion = EngineMonitor.this.suspicions.get(upstream.incarnation());
-			boolean urgent = suspicion != null && suspicion.unanswered < LOST_AFTER;
-			Long askedMs = EngineMonitor.this.askedAtMs.get(upstream.incarnation());
-			boolean askedLately = askedMs != null && nowMs - askedMs < (urgent ? SUSPECT_PAUSE_MS : ASK_PAUSE_MS);
-			if (askedLately || !EngineMonitor.this.budget.take(nowMs, EngineMonitor.this.router.peers().sharers(nowMs))) {
+			boolean urgent = suspicion != null && suspicion.unanswered < LOST_AFTER_UNANSWERED;
+			Long queriedMs = EngineMonitor.this.queriedAtMs.get(upstream.incarnation());
+			boolean queriedRecently = queriedMs != null
+					&& nowMs - queriedMs < (urgent ? SUSPECT_QUERY_INTERVAL_MS : QUERY_INTERVAL_MS);
+			if (queriedRecently
+					|| !EngineMonitor.this.budget.take(nowMs, EngineMonitor.this.router.peers().sharers(nowMs))) {
 				return;
 			}
-			EngineMonitor.this.askedAtMs.put(upstream.incarnation(), nowMs);
-			EngineMonitor.this.askedAtMs.values().removeIf((atMs) -> nowMs - atMs > 10 * ASK_PAUSE_MS);
-			if (this.asked == 0) {
-				this.firstAskedMs = nowMs;
-				EngineMonitor.this.router.loop().schedule(this::judge, ANSWER_BESIDE_OTHERS_MS, TimeUnit.MILLISECONDS);
+			EngineMonitor.this.queriedAtMs.put(upstream.incarnation(), nowMs);
+			EngineMonitor.this.queriedAtMs.values().removeIf((atMs) -> nowMs - atMs > 10 * QUERY_INTERVAL_MS);
+			if (this.queried == 0) {
+				this.firstQueriedMs = nowMs;
+				EngineMonitor.this.router.loop().schedule(this::judge, EARLY_QUERY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
 			}
-			this.asked++;
-			this.waiting.put(upstream.incarnation(), upstream);
-			EngineMonitor.this.engines.queryStatus(upstream.address(), ANSWER_MS, (report) -> take(upstream, nowMs, report));
+			this.queried++;
+			this.pending.put(upstream.incarnation(), upstream);
+			EngineMonitor.this.engines.queryStatus(upstream.address(), QUERY_TIMEOUT_MS,
+					(report) -> onReply(upstream, nowMs, report));
 		}
 
-		private void take(Upstream upstream, long askedMs, Optional<EngineReport> report) {
-			boolean open = this.waiting.remove(upstream.incarnation()) != null;
+		private void onReply(Upstream upstream, long queriedMs, Optional<EngineReport> report) {
+			boolean wasPending = this.pending.remove(upstream.incarnation()) != null;
 			if (report.isPresent() && !EngineMonitor.this.router.directory().confirm(upstream, report.get())) {
-				this.answers++;
+				this.replies++;
 				EngineMonitor.this.suspicions.remove(upstream.incarnation());
-				EngineMonitor.this.news.run();
+				EngineMonitor.this.onChange.run();
 				return;
 			}
 			boolean holds = report.isPresent() && (report.get().held() != null || report.get().loading());
-			this.answers += report.isPresent() ? 1 : 0;
+			this.replies += report.isPresent() ? 1 : 0;
 			if (holds) {
-				works(upstream);
+				onWorking(upstream);
 			}
-			else if (report.isPresent() || (open && conclusive(askedMs, ANSWER_MS))) {
-				silent(upstream, report.isPresent());
+			else if (report.isPresent() || (wasPending && conclusive(queriedMs, QUERY_TIMEOUT_MS))) {
+				onSilent(upstream, report.isPresent());
 			}
 		}
 
 		private void judge() {
-			boolean mostAnswered = this.answers > this.waiting.size();
-			if (mostAnswered && conclusive(this.firstAskedMs, ANSWER_BESIDE_OTHERS_MS)) {
-				List<Upstream> silent = List.copyOf(this.waiting.values());
-				this.waiting.clear();
-				silent.forEach((upstream) -> silent(upstream, false));
+			boolean mostReplied = this.replies > this.pending.size();
+			if (mostReplied && conclusive(this.firstQueriedMs, EARLY_QUERY_TIMEOUT_MS)) {
+				List<Upstream> silent = List.copyOf(this.pending.values());
+				this.pending.clear();
+				silent.forEach((upstream) -> onSilent(upstream, false));
 			}
 		}
 
 	}
 
-	/** An engine that did not answer; confined to the watch. */
+	/** An engine that did not reply; confined to the monitor. */
 	private static final class Suspicion {
 
 		private final Upstream upstream;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/QueryBudget.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/QueryBudget.java
@@ -3,42 +3,50 @@
 import io.whinjunction.chain.PathFinder;
 
 /**
- * How many questions a router may ask engines.
+ * Limits the rate of this router's status queries to engines.
  * <p>
- * The load it answers: a wave of losses in a large fleet. Each late stream asks all
- * engines of its path, each router for itself. A router may ask a whole path at once, and
- * then as many a second as leave the fleet's sum bounded: what one finds, it tells the
- * others.
+ * Load pattern: a wave of engine losses in a large fleet, in which each router queries
+ * all engines of the path of each late stream, independently of its peers. A router may
+ * query a complete path at once, and after that only at a rate that bounds the fleet's
+ * total, since a router reports a silent engine to its peers.
  * <p>
- * Invariant: in any span, at most {@link #AT_ONCE} questions and the span's part of the
- * fleet's rate. Confined to one thread.
+ * Invariant: in any time span, at most {@link #MAX_BURST} queries plus this router's
+ * share of the fleet's rate over that span. Confined to one thread.
  */
 final class QueryBudget {
 
-	/** The questions of one look: all engines of the longest path. */
-	static final int AT_ONCE = PathFinder.MOST_HOPS;
+	/**
+	 * The maximum number of status queries in a burst: all engines of the longest path.
+	 */
+	static final int MAX_BURST = PathFinder.MOST_HOPS;
 
-	/** Questions a second of all routers together: two for each engine of a hundred. */
+	/**
+	 * Status queries per second of all routers together: about two for each engine of a
+	 * fleet of a hundred.
+	 */
 	private static final double FLEET_PER_SECOND = 250;
 
-	/** What a router may always ask a second, however large the fleet is. */
-	private static final double LEAST_PER_SECOND = 4;
+	/**
+	 * The minimum rate of a router, in status queries per second, however large the fleet
+	 * is.
+	 */
+	private static final double MIN_PER_SECOND = 4;
 
 	private static final double MS_PER_S = 1000;
 
-	private double left = AT_ONCE;
+	private double left = MAX_BURST;
 
 	private long countedAtMs;
 
 	/**
-	 * Asks for one question.
-	 * @param nowMs the time
-	 * @param routers how many routers there are
-	 * @return whether it may be asked
+	 * Takes one status query from the budget.
+	 * @param nowMs the current time
+	 * @param routers the number of routers in the fleet
+	 * @return whether the query may be sent
 	 */
 	boolean take(long nowMs, int routers) {
-		double perSecond = Math.max(LEAST_PER_SECOND, FLEET_PER_SECOND / Math.max(1, routers));
-		this.left = Math.min(AT_ONCE, this.left + perSecond * Math.max(0, nowMs - this.countedAtMs) / MS_PER_S);
+		double perSecond = Math.max(MIN_PER_SECOND, FLEET_PER_SECOND / Math.max(1, routers));
+		this.left = Math.min(MAX_BURST, this.left + perSecond * Math.max(0, nowMs - this.countedAtMs) / MS_PER_S);
 		this.countedAtMs = nowMs;
 		if (this.left < 1) {
 			return false;
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StallRulesTests.java
@@ -9,62 +9,63 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * When streams that stand still have engines asked.
+ * When stalled streams cause status queries to engines.
  */
 class StallRulesTests {
 
 	private static final double GAP_MS = 46;
 
-	// Callers see a pause of 280 to 460 ms where 250 are promised: an engine of a path
-	// dies, eight streams over it stop, each somewhere between two events, and nobody is
-	// asked until one of them has been late for three gaps. Together they are a sign 55
-	// ms sooner.
+	// Guards against pauses of 280 to 460 ms where callers are promised 250: an engine
+	// of a path crashes, eight streams over it stop, each somewhere between two
+	// events, and no engine is queried until one of the streams has been late for
+	// three gaps. Together the streams are evidence 55 ms sooner.
 	@Test
-	void aDeadEngineIsAskedAsSoonAsAllItsStreamsAreLate() {
-		assertThat(firstAskedMs(true)).isBetween(80L, 90L);
-		assertThat(firstAskedMs(false)).isGreaterThan(135L);
+	void aCrashedEngineIsQueriedAsSoonAsAllItsStreamsAreLate() {
+		assertThat(firstQueriedMs(true)).isBetween(80L, 90L);
+		assertThat(firstQueriedMs(false)).isGreaterThan(135L);
 	}
 
-	private static long firstAskedMs(boolean together) {
-		for (long sinceDeathMs = 0; sinceDeathMs < 1000; sinceDeathMs++) {
+	private static long firstQueriedMs(boolean together) {
+		for (long sinceCrashMs = 0; sinceCrashMs < 1000; sinceCrashMs++) {
 			List<Pause> pauses = new ArrayList<>();
 			for (int stream = 0; stream < 8; stream++) {
-				// The last event came up to one gap before the death; the first stream
-				// had its event just then.
-				pauses.add(pause(sinceDeathMs + (long) (stream * GAP_MS / 8), "first", "dead"));
+				// The last event arrived up to one gap before the crash; the first
+				// stream received its event at the moment of the crash.
+				pauses.add(pause(sinceCrashMs + (long) (stream * GAP_MS / 8), "first", "crashed"));
 			}
-			boolean asked = together ? StallRules.stalledEngines(pauses).contains("dead")
+			boolean queried = together ? StallRules.stalledEngines(pauses).contains("crashed")
 					: StallRules.lateAlone(pauses.getFirst());
-			if (asked) {
-				return sinceDeathMs;
+			if (queried) {
+				return sinceCrashMs;
 			}
 		}
 		return Long.MAX_VALUE;
 	}
 
-	// A long prompt delays some streams of a path, others go on: nobody is asked.
+	// A long prompt delays some streams of a path while others make progress: no
+	// engine is queried.
 	@Test
-	void anEngineThatMovesOneStreamIsNotAsked() {
+	void anEngineThatAdvancesOneStreamIsNotQueried() {
 		List<Pause> pauses = List.of(pause(120, "a"), pause(120, "a"), pause(120, "a"), pause(20, "a"));
 
 		assertThat(StallRules.stalledEngines(pauses)).isEmpty();
 	}
 
 	@Test
-	void anEngineOfTheSamePathThatMovesOtherStreamsIsLeftOut() {
-		List<Pause> pauses = List.of(pause(120, "dead", "lives"), pause(120, "dead", "lives"),
-				pause(120, "dead", "lives"), pause(10, "lives", "other"));
+	void anEngineOfTheSamePathThatAdvancesOtherStreamsIsLeftOut() {
+		List<Pause> pauses = List.of(pause(120, "crashed", "running"), pause(120, "crashed", "running"),
+				pause(120, "crashed", "running"), pause(10, "running", "other"));
 
-		assertThat(StallRules.stalledEngines(pauses)).containsExactly("dead");
+		assertThat(StallRules.stalledEngines(pauses)).containsExactly("crashed");
 	}
 
 	@Test
-	void twoLateStreamsAreNoSignYet() {
+	void twoLateStreamsAreNotSufficientEvidence() {
 		assertThat(StallRules.stalledEngines(List.of(pause(120, "a"), pause(120, "a")))).isEmpty();
 	}
 
 	@Test
-	void aStreamWithoutEventsSaysNothing() {
+	void aStreamWithoutEventsIsNoEvidence() {
 		Pause reading = new Pause(List.of("a"), false, Double.MAX_VALUE, 300);
 
 		assertThat(StallRules.stalledEngines(List.of(reading, reading, reading))).isEmpty();
@@ -72,16 +73,17 @@
 		assertThat(StallRules.shouldFailOver(reading)).isTrue();
 	}
 
-	// All drafts of a zone begin anew twice after a restart: a router with a cold
-	// processor needs 4 ms for each question, asks 36 engines in a row and looks at the
-	// answers when it is through. What it missed meanwhile says nothing of the engines.
+	// Guards against restarts of all drafts of a failure domain: they were restarted
+	// twice after a router restart. A router with a cold processor needs 4 ms for each
+	// status query, queries 36 engines in a row and processes the replies after the
+	// last query. The replies missing by then are no evidence against the engines.
 	@Test
 	void aRouterThatIsSlowItselfJudgesNoEngine() {
-		long throughMs = 36 * 4;
-		for (long askedMs = 0; askedMs < throughMs; askedMs += 4) {
-			long judgedMs = Math.max(throughMs, askedMs + 80);
-			long ownDelayMs = throughMs - 20;
-			assertThat(StallRules.conclusive(judgedMs - askedMs, 80, ownDelayMs)).isFalse();
+		long finishedMs = 36 * 4;
+		for (long queriedMs = 0; queriedMs < finishedMs; queriedMs += 4) {
+			long judgedMs = Math.max(finishedMs, queriedMs + 80);
+			long ownDelayMs = finishedMs - 20;
+			assertThat(StallRules.conclusive(judgedMs - queriedMs, 80, ownDelayMs)).isFalse();
 		}
 	}
 
@@ -92,10 +94,11 @@
 		assertThat(StallRules.conclusive(82, 80, 60)).isFalse();
 	}
 
-	// Each of 88 routers was woken 50 times a second for streams that went on as usual. A
-	// look is needed when the first of them could be late, and at once where one is.
+	// Guards against unnecessary wake-ups: each of 88 routers was woken 50 times a
+	// second for streams that made normal progress. A check is needed when the first
+	// of them could be late, and immediately if one is late already.
 	@Test
-	void theNextLookIsDueWhenAStreamCouldBeLate() {
+	void theNextCheckIsDueWhenAStreamCouldBeLate() {
 		List<String> path = List.of("a", "b");
 
 		assertThat(StallRules.untilLateMs(new StallRules.Pause(path, true, 40, 10))).isEqualTo(62);
