--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -21,46 +21,51 @@
 import io.whinjunction.routing.RoutingConfiguration;
 
 /**
- * Gives the orders that {@link LayerPlanner} plans, while this process holds the lease.
+ * Issues the orders that {@link LayerPlanner} plans, while this process holds the lease.
  * <p>
- * Invariants: no order is given after the lease ran out by this process's own clock; each
- * order names the fencing number and how many orders the engine had begun, so that one
- * that is late or doubled is refused by the engine. Confined to the event loop.
+ * Invariants: no order is issued after the lease expired by this process's own clock.
+ * Each order carries the fencing number and the number of orders that the engine had
+ * begun, so that the engine refuses a late or duplicate order. Confined to the event
+ * loop.
  */
 final class LayerReconciler {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** The pause between two plans, in milliseconds, besides those after each change. */
-	private static final long PERIOD_MS = 250;
+	/**
+	 * The interval between two plans, in milliseconds; a plan also follows each change.
+	 */
+	private static final long PLAN_INTERVAL_MS = 250;
 
 	/**
-	 * The pause between two surveys of all engines, in milliseconds: half of what a slow
-	 * engine is let be, at a price of under one question a second for each engine.
+	 * The interval between two surveys of all engines, in milliseconds: half of what a
+	 * slow engine is let be, at a cost of less than one status query per second and
+	 * engine.
 	 */
-	private static final long SURVEY_MS = 1500;
+	private static final long SURVEY_INTERVAL_MS = 1500;
 
 	/**
-	 * The pause between two copies in a failure domain, in milliseconds: one is loaded
-	 * and has taken its part of the load by then.
+	 * The minimum interval between two additional copies in a failure domain, in
+	 * milliseconds: by then the first copy is loaded and has taken over its share of the
+	 * load.
 	 */
-	private static final long RELIEF_PAUSE_MS = 2000;
+	private static final long RELIEF_INTERVAL_MS = 2000;
 
-	/** An engine that works more than this much slower than usual is told of. */
-	private static final double SLOW_PACE = 1.2;
+	/** The slowdown above which an engine is reported to peers. */
+	private static final double REPORTED_SLOWDOWN = 1.2;
 
-	/** What an order may take beyond its load time, in milliseconds. */
+	/** The time that an order may take beyond its load time, in milliseconds. */
 	private static final long ORDER_SLACK_MS = 2000;
 
 	/**
-	 * How long no engine must have come before an empty failure domain is planned, in
-	 * milliseconds. Engines come within about two seconds of each other; a plan for the
-	 * first few of them gives one engine half of the model.
+	 * How long no further engine must have appeared before an empty failure domain is
+	 * planned, in milliseconds. Engines appear within about two seconds of each other; a
+	 * plan for the first few of them would give one engine half of the model.
 	 */
 	private static final long SETTLE_MS = 1500;
 
-	/** How long an engine may take to say how it is before an order, in milliseconds. */
-	private static final long REPORT_MS = 600;
+	/** The time limit for the status query before an order, in milliseconds. */
+	private static final long STATUS_TIMEOUT_MS = 600;
 
 	private final EventLoop loop;
 
@@ -72,7 +77,7 @@
 
 	private final ReplicaCounts replicaCounts = new ReplicaCounts();
 
-	private final Map<String, Ordered> ordered = new HashMap<>();
+	private final Map<String, PendingOrder> pendingOrders = new HashMap<>();
 
 	private final Map<String, Long> relievedAtMs = new HashMap<>();
 
@@ -90,11 +95,14 @@
 	}
 
 	void start() {
-		this.loop.scheduleAtFixedRate(this::plan, PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
-		this.loop.scheduleAtFixedRate(this::survey, SURVEY_MS, SURVEY_MS, TimeUnit.MILLISECONDS);
+		this.loop.scheduleAtFixedRate(this::plan, PLAN_INTERVAL_MS, PLAN_INTERVAL_MS, TimeUnit.MILLISECONDS);
+		this.loop.scheduleAtFixedRate(this::survey, SURVEY_INTERVAL_MS, SURVEY_INTERVAL_MS, TimeUnit.MILLISECONDS);
 	}
 
-	/** Asks all engines how they are, for the log: from it a path's load can be read. */
+	/**
+	 * Queries the status of all engines and logs it; the load of a path can be read from
+	 * the log.
+	 */
 	private void survey() {
 		RoutingConfiguration configuration = this.router.configuration();
 		if (this.stopped || configuration == null || !this.leadership.holds()) {
@@ -109,7 +117,7 @@
 	}
 
 	private void survey(Upstream upstream) {
-		this.engines.queryStatus(upstream.address(), REPORT_MS, (report) -> {
+		this.engines.queryStatus(upstream.address(), STATUS_TIMEOUT_MS, (report) -> {
 			logger.atInfo()
 				.log("event=engine-state engine=%s domain=%s kind=%s listed=%s report=\"%s\"", upstream.incarnation(),
 						upstream.failureDomain(), upstream.kind(), upstream.held(), report.orElse(null));
@@ -117,9 +125,9 @@
 				this.slowdowns.remove(upstream.incarnation());
 				return;
 			}
-			double pace = report.map(EngineReport::pace).orElse(1.0);
-			if (pace > SLOW_PACE) {
-				this.slowdowns.put(upstream.incarnation(), pace);
+			double slowdown = report.map(EngineReport::pace).orElse(1.0);
+			if (slowdown > REPORTED_SLOWDOWN) {
+				this.slowdowns.put(upstream.incarnation(), slowdown);
 			}
 			else {
 				this.slowdowns.remove(upstream.incarnation());
@@ -128,8 +136,8 @@
 	}
 
 	/**
-	 * How much slower than usual engines work, by name, as far as it was surveyed.
-	 * @return a live view; empty where another router leads
+	 * Returns the slowdown of engines found by the surveys, by incarnation.
+	 * @return a live view; empty while another router leads
 	 */
 	Map<String, Double> slowdowns() {
 		return this.slowdowns;
@@ -139,7 +147,7 @@
 		this.stopped = true;
 	}
 
-	/** Plans and orders, where this process leads. */
+	/** Plans and issues orders if this process leads. */
 	void plan() {
 		RoutingConfiguration configuration = this.router.configuration();
 		if (this.stopped || configuration == null || !this.leadership.holds()) {
@@ -154,7 +162,7 @@
 
 	private void plan(RoutedService service) {
 		ModelProfile profile = service.model();
-		forgetSettled(profile);
+		removeCompleted(profile);
 		List<Engine> state = new ArrayList<>();
 		for (UpstreamState upstream : this.router.directory().staying(service.name())) {
 			EngineKind kind = profile.kinds().get(upstream.upstream().kind());
@@ -176,17 +184,17 @@
 
 	private void relieve(ModelProfile profile, List<Engine> state) {
 		long nowMs = this.router.nowMs();
-		for (Placement placement : LayerPlanner.relieve(profile, state, (engine) -> usedPart(profile, engine))) {
+		for (Placement placement : LayerPlanner.relieve(profile, state, (engine) -> usedRatio(profile, engine))) {
 			String domain = placement.engine().failureDomain();
 			Long lastMs = this.relievedAtMs.get(domain);
-			if (lastMs == null || nowMs - lastMs > RELIEF_PAUSE_MS) {
+			if (lastMs == null || nowMs - lastMs > RELIEF_INTERVAL_MS) {
 				this.relievedAtMs.put(domain, nowMs);
 				order(profile, placement);
 			}
 		}
 	}
 
-	private double usedPart(ModelProfile profile, Engine engine) {
+	private double usedRatio(ModelProfile profile, Engine engine) {
 		UpstreamState state = this.router.directory().find(engine.id());
 		boolean holds = state != null && state.upstream().held() != null;
 		return holds ? this.router.chooser().usedPart(profile, engine.kind(), state, this.router.nowMs()) : 0;
@@ -217,42 +225,42 @@
 	}
 
 	private Engine engine(Upstream upstream, EngineKind kind) {
-		Ordered order = this.ordered.get(upstream.incarnation());
+		PendingOrder order = this.pendingOrders.get(upstream.incarnation());
 		LayerRange held = (order != null) ? order.layers() : upstream.held();
 		return new Engine(upstream.incarnation(), upstream.address(), upstream.failureDomain(), kind, held, false);
 	}
 
-	private void forgetSettled(ModelProfile profile) {
+	private void removeCompleted(ModelProfile profile) {
 		long nowMs = this.router.nowMs();
-		this.ordered.entrySet().removeIf((entry) -> {
+		this.pendingOrders.entrySet().removeIf((entry) -> {
 			UpstreamState state = this.router.directory().find(entry.getKey());
-			Ordered order = entry.getValue();
+			PendingOrder order = entry.getValue();
 			return state == null || order.layers().equals(state.upstream().held())
-					|| nowMs - order.sinceMs() > mostMs(profile, order);
+					|| nowMs - order.sinceMs() > timeoutMs(profile, order);
 		});
 	}
 
-	private static long mostMs(ModelProfile profile, Ordered order) {
-		double share = (double) (order.layers().end() - order.layers().first()) / profile.layers();
-		return (long) (2 * share * profile.loadSeconds() * 1000) + ORDER_SLACK_MS;
+	private static long timeoutMs(ModelProfile profile, PendingOrder order) {
+		double loadedRatio = (double) (order.layers().end() - order.layers().first()) / profile.layers();
+		return (long) (2 * loadedRatio * profile.loadSeconds() * 1000) + ORDER_SLACK_MS;
 	}
 
 	private void order(ModelProfile profile, Placement placement) {
 		Engine engine = placement.engine();
-		this.ordered.put(engine.id(), new Ordered(placement.layers(), this.router.nowMs()));
-		this.engines.queryStatus(engine.address(), REPORT_MS, (report) -> {
+		this.pendingOrders.put(engine.id(), new PendingOrder(placement.layers(), this.router.nowMs()));
+		this.engines.queryStatus(engine.address(), STATUS_TIMEOUT_MS, (report) -> {
 			UpstreamState state = this.router.directory().find(engine.id());
 			if (state == null
 					|| (report.isPresent() && !this.router.directory().confirm(state.upstream(), report.get()))) {
-				// It has started again: it counts its orders anew and holds nothing of
-				// what the plan was made for.
-				dropped(engine, "restarted-or-gone");
+				// The engine has restarted: it counts its orders from zero and holds
+				// none of the layers that the plan was based on.
+				logDropped(engine, "restarted-or-gone");
 			}
 			else if (report.isEmpty()) {
-				dropped(engine, "no-report");
+				logDropped(engine, "no-report");
 			}
 			else if (!this.leadership.holds()) {
-				dropped(engine, "no-lease");
+				logDropped(engine, "no-lease");
 			}
 			else {
 				place(engine, placement.layers(), report.get());
@@ -260,17 +268,17 @@
 		});
 	}
 
-	private static void dropped(Engine engine, String reason) {
+	private static void logDropped(Engine engine, String reason) {
 		logger.atWarning().log("event=order-dropped engine=%s reason=%s", engine.id(), reason);
 	}
 
 	private void place(Engine engine, LayerRange layers, EngineReport report) {
 		EngineControl.PlaceOrder order = new EngineControl.PlaceOrder(layers, this.leadership.fencing(),
 				report.orders());
-		this.engines.place(engine.address(), order, (reply) -> took(engine, order, reply));
+		this.engines.place(engine.address(), order, (reply) -> onReply(engine, order, reply));
 	}
 
-	private void took(Engine engine, EngineControl.PlaceOrder order, OrderReply reply) {
+	private void onReply(Engine engine, EngineControl.PlaceOrder order, OrderReply reply) {
 		logger.atInfo()
 			.log("event=order engine=%s domain=%s layers=%s fencing=%d expected=%d reply=\"%s\"", engine.id(),
 					engine.failureDomain(), order.layers(), order.fencing(), order.expectedOrders(), reply);
@@ -280,19 +288,19 @@
 	}
 
 	/**
-	 * An order under way.
+	 * An order that has not been completed.
 	 *
-	 * @param layers what the engine will hold
-	 * @param sinceMs when it was given
+	 * @param layers the layers that the engine will hold
+	 * @param sinceMs when the order was issued
 	 */
-	private record Ordered(LayerRange layers, long sinceMs) {
+	private record PendingOrder(LayerRange layers, long sinceMs) {
 	}
 
 	/**
-	 * How many engines a failure domain has had at most.
+	 * The maximum number of engines that a failure domain has had.
 	 *
-	 * @param engines how many
-	 * @param sinceMs since when
+	 * @param engines the number of engines
+	 * @param sinceMs when that number was reached
 	 */
 	private record Settling(int engines, long sinceMs) {
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
@@ -14,26 +14,30 @@
 /**
  * Holds, or waits for, the lease under which one router plans layers.
  * <p>
- * {@link LeaseTerm} decides; this class makes the calls. The holder renews without
- * reading; candidates look at the store only while no router says that it leads. Stale
- * reads would not do: in a spell of old history a lease that nobody held looked renewed
- * for seven seconds. Confined to the event loop.
+ * {@link LeaseTerm} decides; this class makes the calls. The holder renews the lease
+ * without reading it. Candidates poll the store only while no router reports that it
+ * leads. Stale reads cannot be used for this: while the store served old history, a lease
+ * that nobody held appeared to be renewed for seven seconds. Confined to the event loop.
  */
 final class Leadership {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/**
-	 * After how long without renewal another takes over, in milliseconds: a few lost
-	 * replies, and short enough that a hole which appears with its loss is filled soon.
+	 * The time without renewal after which another router takes over, in milliseconds. It
+	 * outlasts a few lost replies, and is short enough that a layer gap that appears
+	 * together with the loss of the holder is filled soon.
 	 */
 	static final long TIME_TO_LIVE_MS = 1800;
 
-	/** The pause between renewals: three fall into the part in which a holder acts. */
-	private static final long RENEW_MS = 400;
+	/**
+	 * The interval between renewals, in milliseconds: three renewals fall into the part
+	 * of the lease time during which a holder acts.
+	 */
+	private static final long RENEW_INTERVAL_MS = 400;
 
-	/** The pause between looks of a candidate, in milliseconds. */
-	private static final long LOOK_MS = 400;
+	/** The interval at which a candidate polls, in milliseconds. */
+	private static final long POLL_INTERVAL_MS = 400;
 
 	private final EventLoop loop;
 
@@ -43,7 +47,7 @@
 
 	private final Ticker ticker;
 
-	private final BooleanSupplier otherLeads;
+	private final BooleanSupplier peerLeads;
 
 	private final LeaseTerm term;
 
@@ -52,19 +56,19 @@
 	private boolean stopped;
 
 	/**
-	 * A candidate.
+	 * Creates a candidate.
 	 * @param loop the event loop
-	 * @param store where the lease is
-	 * @param name this process
+	 * @param store stores the lease
+	 * @param name the name of this process
 	 * @param ticker the clock
-	 * @param otherLeads whether another one says that it leads
+	 * @param peerLeads returns whether a peer reports that it leads
 	 */
-	Leadership(EventLoop loop, FleetStore store, String name, Ticker ticker, BooleanSupplier otherLeads) {
+	Leadership(EventLoop loop, FleetStore store, String name, Ticker ticker, BooleanSupplier peerLeads) {
 		this.loop = loop;
 		this.store = store;
 		this.name = name;
 		this.ticker = ticker;
-		this.otherLeads = otherLeads;
+		this.peerLeads = peerLeads;
 		this.term = new LeaseTerm(name, TIME_TO_LIVE_MS);
 	}
 
@@ -80,28 +84,36 @@
 		return this.term.fencing();
 	}
 
-	/** Gives the lease up for good, so that another need not wait. */
+	/**
+	 * Releases the lease permanently, so that another router need not wait until it
+	 * expires.
+	 */
 	void stop() {
 		boolean held = holds();
 		this.stopped = true;
 		if (held) {
-			this.term.renewal(this.ticker.nowMs()).ifPresent(this::giveUp);
+			this.term.renewal(this.ticker.nowMs()).ifPresent(this::release);
 		}
 	}
 
-	private void giveUp(LeaseTerm.Claim claim) {
+	private void release(LeaseTerm.Claim claim) {
 		LeaseObject free = new LeaseObject("", claim.fencing(), nonce(), claim.expectedVersion());
-		// Where the reply is lost, the lease lapses by itself.
+		// If the reply is lost, the lease expires on its own.
 		this.store.writeLease(free, (reply) -> logger.atInfo().log("event=lease-given-up reply=\"%s\"", reply));
 	}
 
-	/** The store has come back from an older copy: whoever led does so no more. */
+	/**
+	 * Handles a store that was restored from an older copy: a previous holder no longer
+	 * leads.
+	 */
 	void storeRestored() {
 		this.term.returned(this.ticker.nowMs());
-		noteLeading(false);
+		setLeading(false);
 	}
 
-	/** An engine has refused an order because another holder has given some. */
+	/**
+	 * Handles an order that an engine refused because another holder has issued orders.
+	 */
 	void fenced() {
 		logger.atWarning().log("event=fenced fencing=%d", this.term.fencing());
 		this.term.lost();
@@ -112,20 +124,20 @@
 			return;
 		}
 		long nowMs = this.ticker.nowMs();
-		noteLeading(this.term.holds(nowMs));
+		setLeading(this.term.holds(nowMs));
 		Optional<LeaseTerm.Claim> renewal = this.term.renewal(nowMs);
 		if (renewal.isPresent()) {
 			write(renewal.get(), nowMs);
 		}
-		else if (this.otherLeads.getAsBoolean() && !this.term.heldAtReturn()) {
-			again(LOOK_MS);
+		else if (this.peerLeads.getAsBoolean() && !this.term.heldAtReturn()) {
+			scheduleStep(POLL_INTERVAL_MS);
 		}
 		else {
-			this.store.readLease(this::take);
+			this.store.readLease(this::onRead);
 		}
 	}
 
-	private void take(StoreReply<LeaseObject> reply) {
+	private void onRead(StoreReply<LeaseObject> reply) {
 		switch (reply) {
 			case StoreReply.Found<LeaseObject> found -> {
 				LeaseObject lease = found.value();
@@ -133,12 +145,12 @@
 			}
 			case StoreReply.Absent<LeaseObject> ignored ->
 				claim(this.term.absent(this.store.era().current(), this.ticker.nowMs()));
-			default -> again(LOOK_MS);
+			default -> scheduleStep(POLL_INTERVAL_MS);
 		}
 	}
 
 	private void claim(Optional<LeaseTerm.Claim> claim) {
-		claim.ifPresentOrElse((present) -> write(present, this.ticker.nowMs()), () -> again(LOOK_MS));
+		claim.ifPresentOrElse((present) -> write(present, this.ticker.nowMs()), () -> scheduleStep(POLL_INTERVAL_MS));
 	}
 
 	private void write(LeaseTerm.Claim claim, long startMs) {
@@ -147,46 +159,47 @@
 		}
 		String nonce = nonce();
 		this.store.writeLease(new LeaseObject(this.name, claim.fencing(), nonce, claim.expectedVersion()),
-				(reply) -> written(reply, claim, nonce, startMs));
+				(reply) -> onWritten(reply, claim, nonce, startMs));
 	}
 
-	private void written(StoreReply<LeaseObject> reply, LeaseTerm.Claim claim, String nonce, long startMs) {
+	private void onWritten(StoreReply<LeaseObject> reply, LeaseTerm.Claim claim, String nonce, long startMs) {
 		switch (reply) {
 			case StoreReply.Found<LeaseObject> found -> confirm(claim, found.value().version(), startMs);
 			case StoreReply.Unavailable<LeaseObject> ignored ->
-				// The reply may have been lost and the write done: the nonce tells.
+				// The reply may have been lost after the write was done; the nonce
+				// identifies the write.
 				this.store.readLease((readBack) -> {
 					if (readBack instanceof StoreReply.Found<LeaseObject> found && found.value().nonce().equals(nonce)
 							&& found.value().version().era() == claim.expectedVersion().era()) {
 						confirm(claim, found.value().version(), startMs);
 					}
 					else {
-						again(RENEW_MS);
+						scheduleStep(RENEW_INTERVAL_MS);
 					}
 				});
 			default -> {
 				this.term.lost();
-				noteLeading(false);
-				again(LOOK_MS);
+				setLeading(false);
+				scheduleStep(POLL_INTERVAL_MS);
 			}
 		}
 	}
 
 	private void confirm(LeaseTerm.Claim claim, StoreVersion version, long startMs) {
 		this.term.written(claim, version, startMs);
-		noteLeading(true);
-		again(RENEW_MS);
+		setLeading(true);
+		scheduleStep(RENEW_INTERVAL_MS);
 	}
 
 	private static String nonce() {
 		return UUID.randomUUID().toString();
 	}
 
-	private void again(long pauseMs) {
-		this.loop.schedule(this::step, pauseMs, TimeUnit.MILLISECONDS);
+	private void scheduleStep(long delayMs) {
+		this.loop.schedule(this::step, delayMs, TimeUnit.MILLISECONDS);
 	}
 
-	private void noteLeading(boolean now) {
+	private void setLeading(boolean now) {
 		if (now != this.leading) {
 			this.leading = now;
 			logger.atInfo().log("event=%s fencing=%d", now ? "leading" : "not-leading", this.term.fencing());
--- a/whinjunction-router/src/main/java/io/whinjunction/router/OrderReply.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/OrderReply.java
@@ -1,31 +1,35 @@
 package io.whinjunction.router;
 
 /**
- * What became of an order to an engine. Immutable.
+ * The outcome of an order to an engine. Immutable.
  */
 public sealed interface OrderReply {
 
-	/** It has begun, or what it asks for holds already. */
+	/** The engine has begun the order, or already has the ordered state. */
 	record Accepted() implements OrderReply {
 	}
 
-	/** A newer holder of the lease has given orders: this process must give no more. */
+	/**
+	 * A newer holder of the lease has issued orders: this process must not issue any
+	 * more.
+	 */
 	record Fenced() implements OrderReply {
 	}
 
 	/**
-	 * It was refused and will not be carried out.
+	 * The engine refused the order and will not carry it out.
 	 *
-	 * @param reason why, for logs
-	 * @param faultyAddress the engine that made it fail, or {@code null}
+	 * @param reason the reason, for logs
+	 * @param faultyAddress the address of the engine that caused the failure, or
+	 * {@code null}
 	 */
 	record Refused(String reason, String faultyAddress) implements OrderReply {
 	}
 
 	/**
-	 * No answer came; it may be carried out, now or later.
+	 * No reply arrived; the engine may carry out the order, now or later.
 	 *
-	 * @param reason why, for logs
+	 * @param reason the reason, for logs
 	 */
 	record Unknown(String reason) implements OrderReply {
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/LeadershipTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/LeadershipTests.java
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which writes of the lease count as its own.
+ * Which writes of the lease a router recognizes as its own.
  */
 class LeadershipTests {
 
@@ -31,15 +31,16 @@
 			() -> false);
 
 	@Test
-	void aWriteWhoseReplyWasLostIsKnownByItsNonce() {
+	void aWriteWhoseReplyWasLostIsRecognizedByItsNonce() {
 		claim();
 		readBack(new StoreVersion(0, 7));
 
 		assertThat(this.leadership.holds()).isTrue();
 	}
 
-	// The write was carried out by the store that has come back since: its number belongs
-	// to an earlier era, and another router may have it too.
+	// The write was carried out by the store before it was restored from an older
+	// copy. Its fencing number belongs to an earlier era, and another router may hold
+	// the same number.
 	@Test
 	void aWriteThatIsFoundInALaterEraDoesNotCount() {
 		claim();
