--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
@@ -8,42 +8,45 @@
 import io.whinjunction.routing.RoutedService;
 
 /**
- * Decides whether a process that was told to stop still begins an attempt.
+ * Decides whether a process that was ordered to stop still begins an attempt.
  * <p>
- * The load it answers: every process of a deployment is stopped in turn, and the balancer
- * goes on sending to those that stop. Drafts don't say how long they will be: half take 2
- * s, one in twenty takes 6 to 7 s, and what a process began by the time since its signal
- * alone was cut at the end of its grace. So it asks how many of its recent requests would
- * have outlived it. Where the caller finds another process, a refusal costs it some 170
- * ms; where it may find none, a draft that may be cut and goes on later is better than
- * none.
+ * Load pattern: every process of a deployment is stopped in turn, and the balancer
+ * continues to send to the processes that stop. The duration of a draft is not known in
+ * advance: half of them take 2 s, one in twenty takes 6 to 7 s. When attempts were
+ * admitted by the time since the signal alone, some were cut at the end of the grace
+ * period. Therefore this class estimates the ratio of recent requests that would have
+ * outlived the process. If the caller finds another process, a refusal costs it about 170
+ * ms. If it may find none, a draft that may be cut and resumed later is better than none.
  * <p>
  * Confined to the event loop.
  */
 final class StopAdmission {
 
 	/**
-	 * The most of what may be repeated that is cut: its caller goes on elsewhere, and one
-	 * such cut weighs no more than twenty refusals, each of which delays a first event.
+	 * The maximum ratio of repeatable attempts that are cut. Their callers fail over, and
+	 * one such cut is no worse than twenty refusals, each of which delays a first event.
 	 */
-	private static final double MOST_OUTLIVING = 0.05;
+	private static final double MAX_OUTLIVING_RATIO = 0.05;
 
-	/** The most of what must not be repeated: its caller would never know what ran. */
-	private static final double MOST_OUTLIVING_FOR_GOOD = 0.01;
+	/**
+	 * The maximum ratio of attempts cut that must not be repeated: their callers would
+	 * never learn what was executed.
+	 */
+	private static final double MAX_OUTLIVING_RATIO_UNREPEATABLE = 0.01;
 
 	/**
-	 * With less than this left nothing begins, however short it usually is, in
-	 * milliseconds: of uploads that usually took 89 ms, one in a hundred took 344 ms on a
-	 * day with every router stopped in turn.
+	 * The remaining time below which no attempt begins on the basis of recent durations,
+	 * however short these are, in milliseconds: of uploads that usually took 89 ms, one
+	 * in a hundred took 344 ms on a day on which every router was stopped in turn.
 	 */
-	private static final long LEAST_LEFT_MS = 1000;
+	private static final long MIN_LEFT_MS = 1000;
 
 	private final Map<Family, RecentDurations> byFamily = new HashMap<>();
 
 	/**
-	 * A request was answered as a whole.
-	 * @param family the requests that it belongs to
-	 * @param tookMs how long it took, in milliseconds
+	 * Records the duration of a request that was answered completely.
+	 * @param family the family of the request
+	 * @param tookMs the duration, in milliseconds
 	 */
 	void answered(Family family, long tookMs) {
 		this.byFamily.computeIfAbsent(family, (ignored) -> new RecentDurations()).add(tookMs);
@@ -51,52 +54,53 @@
 
 	/**
 	 * Judges an attempt that would begin now.
-	 * @param schedule the stop
-	 * @param nowMs the time, on the stop's clock
+	 * @param schedule the schedule of the stop
+	 * @param nowMs the current time, on the clock of the schedule
 	 * @param candidate the attempt
-	 * @param inProgressMs how long the family's requests in progress have taken so far,
-	 * in milliseconds
-	 * @param others the other processes
+	 * @param inProgressMs how long each request of the family that is in progress has
+	 * taken so far, in milliseconds
+	 * @param others the peers
 	 * @return the judgement
 	 */
 	Judgement judge(StopSchedule schedule, long nowMs, Candidate candidate, long[] inProgressMs,
 			PeerTable.Others others) {
 		long leftMs = schedule.leftMs(nowMs);
-		double mostOutliving = candidate.repeatable() ? MOST_OUTLIVING : MOST_OUTLIVING_FOR_GOOD;
+		double maxOutliving = candidate.repeatable() ? MAX_OUTLIVING_RATIO : MAX_OUTLIVING_RATIO_UNREPEATABLE;
 		RecentDurations durations = this.byFamily.get(candidate.family());
-		boolean known = durations != null && durations.canTell(MOST_OUTLIVING);
+		boolean known = durations != null && durations.canTell(MAX_OUTLIVING_RATIO);
 		double outliving = known ? durations.partOver(leftMs, inProgressMs) : -1;
 		boolean inTime = schedule.servesRequests(nowMs);
-		boolean endedInTime = candidate.longestMs() <= leftMs;
-		// What was seen may speak against an attempt, and be too little to speak for a
-		// late one.
-		boolean knownWell = known && durations.canTell(mostOutliving) && leftMs >= LEAST_LEFT_MS;
-		boolean likelyEnds = (inTime || knownWell) && outliving <= mostOutliving;
-		boolean ratherCut = inTime || (candidate.again() && candidate.repeatable());
+		boolean boundedInTime = candidate.longestMs() <= leftMs;
+		// Recent durations may suffice to reject an attempt but not to admit a late
+		// one.
+		boolean knownWell = known && durations.canTell(maxOutliving) && leftMs >= MIN_LEFT_MS;
+		boolean likelyCompletes = (inTime || knownWell) && outliving <= maxOutliving;
+		boolean mayBeCut = inTime || (candidate.again() && candidate.repeatable());
 		boolean hasNowhereElse = candidate.resumed() || !others.suffice();
-		boolean begins = endedInTime || likelyEnds || (ratherCut && hasNowhereElse);
+		boolean begins = boundedInTime || likelyCompletes || (mayBeCut && hasNowhereElse);
 		return new Judgement(begins, schedule.ageMs(nowMs), leftMs, outliving, others);
 	}
 
 	/**
 	 * An attempt that would begin. Immutable.
 	 *
-	 * @param family the requests that it belongs to
+	 * @param family the family of the request
 	 * @param repeatable whether its caller may repeat it
-	 * @param again whether the request was taken and tried before
-	 * @param resumed whether its caller goes on with a stream that broke off: it has come
-	 * back once, and is not sent away again for what may happen
-	 * @param longestMs after how long its answer is ended in any case, in milliseconds;
-	 * {@link Long#MAX_VALUE} for a stream
+	 * @param again whether the request was accepted and tried before
+	 * @param resumed whether its caller resumes a stream that broke off: it has already
+	 * had to reconnect once, and is not rejected because of a mere risk
+	 * @param longestMs the time limit after which its response is ended in any case, in
+	 * milliseconds; {@link Long#MAX_VALUE} for a stream
 	 */
 	record Candidate(Family family, boolean repeatable, boolean again, boolean resumed, long longestMs) {
 	}
 
 	/**
-	 * Requests that take about as long: an action's duration must not be taken for that
-	 * of the status checks which the same service answers. Immutable.
+	 * Requests with similar durations. The kind of route is part of it, since the
+	 * duration of an action must not be taken for that of the status checks of the same
+	 * service. Immutable.
 	 *
-	 * @param service the service's name
+	 * @param service the name of the service
 	 * @param kind the kind of the route
 	 */
 	record Family(String service, RequestKind kind) {
@@ -108,14 +112,14 @@
 	}
 
 	/**
-	 * Whether an attempt begins, and what decided. Immutable.
+	 * The decision on an attempt, and what it was based on. Immutable.
 	 *
-	 * @param begins whether it does
-	 * @param ageMs how long ago the signal came, in milliseconds
-	 * @param leftMs how long the attempt would have, in milliseconds
-	 * @param outliving the part of recent requests that took longer; -1 where too few are
-	 * known
-	 * @param others the other processes
+	 * @param begins whether the attempt begins
+	 * @param ageMs the time since the signal, in milliseconds
+	 * @param leftMs the time that the attempt would have, in milliseconds
+	 * @param outliving the ratio of recent requests that took longer than that; -1 if
+	 * there are too few
+	 * @param others the peers
 	 */
 	record Judgement(boolean begins, long ageMs, long leftMs, double outliving, PeerTable.Others others) {
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
@@ -7,21 +7,26 @@
 import com.google.common.flogger.FluentLogger;
 
 /**
- * The steps from the signal to the end of the process.
+ * The steps from the stop signal to the exit of the process.
  * <p>
- * The failure it is there for: the balancer takes a process out only after two questions
- * that got no yes, and callers send on kept connections until they hear of the end. So
- * the process says at once that it is not ready, serves what ends in time, ends each
- * connection with an answer, then refuses, then takes no more, and leaves when nothing is
- * in progress or its grace is nearly over; whoever still waits then for the beginning of
- * an answer is told so. Confined to the event loop.
+ * Guards against requests that fail because they are still sent to a stopping process:
+ * the balancer takes a process out only after two unsuccessful readiness checks, and
+ * callers send on kept connections until they learn that these are closed. So the process
+ * reports at once that it is not ready, serves the requests that complete in time, and
+ * closes each connection with a response. Then it rejects requests, then it accepts no
+ * more connections, and it exits when nothing is in progress or the grace period is
+ * nearly over. Callers that still wait for the beginning of a response then receive one
+ * that says so. Confined to the event loop.
  */
 final class StopSequence {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** The pause between two looks, in milliseconds: what a stop takes longer for it. */
-	private static final long LOOK_MS = 100;
+	/**
+	 * The interval between two checks, in milliseconds; a stop takes up to this much
+	 * longer.
+	 */
+	private static final long CHECK_INTERVAL_MS = 100;
 
 	private final RouterContext router;
 
@@ -34,11 +39,11 @@
 	private boolean accepting = true;
 
 	/**
-	 * A sequence.
-	 * @param router what stops
-	 * @param schedule when what ends
-	 * @param stopAccepting ends the listening for callers
-	 * @param stopped is run when the process may end
+	 * Creates a sequence that has not started.
+	 * @param router the stopping router
+	 * @param schedule the times of the steps
+	 * @param stopAccepting stops listening for callers
+	 * @param stopped is run when the process may exit
 	 */
 	StopSequence(RouterContext router, StopSchedule schedule, Runnable stopAccepting, Runnable stopped) {
 		this.router = router;
@@ -48,24 +53,24 @@
 	}
 
 	void start() {
-		this.router.loop().schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+		this.router.loop().schedule(this::check, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
 	}
 
-	private void look() {
+	private void check() {
 		long nowMs = this.router.bootMs();
 		List<CallerConnection> busy = this.router.callers().stream().filter(CallerConnection::busy).toList();
 		if (!this.schedule.takesConnections(nowMs)) {
 			stopAcceptingOnce();
 			Set.copyOf(this.router.callers()).forEach(CallerConnection::closeIfIdle);
 			if (busy.isEmpty() || this.schedule.over(nowMs)) {
-				end(busy, nowMs);
+				finish(busy, nowMs);
 				return;
 			}
 		}
 		start();
 	}
 
-	private void end(List<CallerConnection> busy, long nowMs) {
+	private void finish(List<CallerConnection> busy, long nowMs) {
 		try {
 			long cut = busy.stream().filter(StopSequence::cut).count();
 			logger.atInfo()
@@ -81,7 +86,7 @@
 			return caller.routerEnds();
 		}
 		catch (RuntimeException ex) {
-			// The others still have to be told, and the process to end.
+			// The remaining callers must still be notified, and the process must exit.
 			logger.atSevere().withCause(ex).log("event=end-failed");
 			return true;
 		}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StopAdmissionTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StopAdmissionTests.java
@@ -6,7 +6,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which attempts a process that was told to stop still begins.
+ * Which attempts a process that was ordered to stop still begins.
  */
 class StopAdmissionTests {
 
@@ -22,10 +22,10 @@
 
 	private final StopSchedule schedule = new StopSchedule(0, 8_000);
 
-	// Half of the drafts take 2 s, one in ten takes 6 s. At 2 s 5.5 s are left, and one
-	// in ten would be cut in the middle.
+	// Half of the drafts take 2 s, one in ten takes 6 s. At 2 s, 5.5 s are left, and
+	// one in ten would be cut in the middle.
 	@Test
-	void anAttemptBeginsOnlyWhereAlmostAllEndInTime() {
+	void anAttemptBeginsOnlyIfAlmostAllCompleteInTime() {
 		serve(9, 2_000, 1, 6_000);
 
 		assertThat(begins(1_000, true, ENOUGH)).isTrue();
@@ -33,17 +33,17 @@
 	}
 
 	@Test
-	void whatMustNotBeRepeatedBeginsOnlyWhereItSurelyEnds() {
+	void anUnrepeatableAttemptBeginsOnlyIfItIsCertainToComplete() {
 		serve(32, 2_000, 1, 6_000);
 
 		assertThat(begins(2_000, true, ENOUGH)).isTrue();
 		assertThat(begins(2_000, false, ENOUGH)).isFalse();
 	}
 
-	// All routers of a failure domain stop one after the other. Refused here, a caller is
-	// sent to another one that stops, and its one more try is spent.
+	// All routers of a failure domain stop one after the other. A caller refused here
+	// is sent to another router that stops, which uses up its one remaining try.
 	@Test
-	void whereTheOthersDoNotSufficeItBeginsAsLongAsRequestsAreServed() {
+	void ifThePeersDoNotSufficeAnAttemptBeginsAsLongAsRequestsAreServed() {
 		serve(9, 2_000, 1, 6_000);
 
 		assertThat(begins(2_000, true, TOO_FEW)).isTrue();
@@ -51,24 +51,24 @@
 	}
 
 	@Test
-	void withoutKnownDurationsItBeginsAsLongAsRequestsAreServed() {
+	void withoutKnownDurationsAnAttemptBeginsAsLongAsRequestsAreServed() {
 		assertThat(begins(2_700, true, ENOUGH)).isTrue();
 		assertThat(begins(2_800, true, ENOUGH)).isFalse();
 	}
 
-	// A status check whose upstream turned it away is tried again elsewhere: it takes 20
+	// A status check that its upstream rejected is retried at another one: it takes 20
 	// ms, and 4 s are left.
 	@Test
-	void whatIsShortBeginsLateAsWell() {
+	void aShortAttemptBeginsLateAsWell() {
 		serve(9, 20, 1, 60);
 
 		assertThat(begins(3_500, true, ENOUGH)).isTrue();
 		assertThat(begins(6_600, true, ENOUGH)).isFalse();
 	}
 
-	// A bookings' service answers many status checks in 20 ms and few bookings, which
-	// take 6 s. A booking that is begun at 2 s is cut, and nobody knows whether it was
-	// made.
+	// A bookings service answers many status checks in 20 ms and few bookings, which
+	// take 6 s. A booking that begins at 2 s would be cut, and its caller could not
+	// know whether it was made.
 	@Test
 	void anActionIsNotJudgedByTheStatusChecksOfItsService() {
 		StopAdmission.Family checks = new StopAdmission.Family("llm", RequestKind.IDEMPOTENT);
@@ -82,7 +82,7 @@
 		assertThat(this.admission.judge(this.schedule, 2_000, attempt(checks, true), NONE, ENOUGH).begins()).isTrue();
 	}
 
-	// Twenty bookings that took 20 ms don't tell whether one in a hundred takes longer.
+	// Twenty bookings of 20 ms do not show whether one in a hundred takes longer.
 	@Test
 	void fewShortActionsDoNotLetALateOneBegin() {
 		for (int request = 0; request < 20; request++) {
@@ -93,10 +93,10 @@
 		assertThat(begins(3_500, true, ENOUGH)).isTrue();
 	}
 
-	// A status check breaks off late in a stop, and no duration is known. Its route ends
-	// it after 1.5 s, and 3 s are left.
+	// A status check breaks off late in a stop, and no durations are known. Its route
+	// ends it after 1.5 s, and 3 s are left.
 	@Test
-	void whatItsRouteEndsInTimeBegins() {
+	void anAttemptThatItsRouteEndsInTimeBegins() {
 		StopAdmission.Candidate check = new StopAdmission.Candidate(DRAFTS, false, false, false, 1_500);
 
 		assertThat(this.admission.judge(this.schedule, 4_500, check, NONE, ENOUGH).begins()).isTrue();
@@ -104,17 +104,18 @@
 	}
 
 	@Test
-	void whatMayBeRepeatedIsTriedAgainLateWhereTheOthersDoNotSuffice() {
+	void aRepeatableRequestIsRetriedLateIfThePeersDoNotSuffice() {
 		StopAdmission.Candidate again = new StopAdmission.Candidate(DRAFTS, true, true, false, Long.MAX_VALUE);
 
 		assertThat(this.admission.judge(this.schedule, 4_500, again, NONE, TOO_FEW).begins()).isTrue();
 		assertThat(this.admission.judge(this.schedule, 4_500, again, NONE, ENOUGH).begins()).isFalse();
 	}
 
-	// An editor's draft is cut by one router's end, and goes on at another one that was
-	// told to stop meanwhile. Refused there, it finds nobody within its last try.
+	// A draft for an editor is cut by the stop of one router, and resumes at another
+	// router that was ordered to stop in the meantime. If that router refused it, the
+	// caller's last try would be used up without finding a router.
 	@Test
-	void aStreamThatBrokeOffGoesOnWhereOthersWouldServeToo() {
+	void aStreamThatBrokeOffResumesEvenIfPeersWouldServeIt() {
 		serve(9, 2_000, 1, 6_000);
 		StopAdmission.Candidate resumed = new StopAdmission.Candidate(DRAFTS, true, false, true, Long.MAX_VALUE);
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StopScheduleTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StopScheduleTests.java
@@ -5,14 +5,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * When a process that was told to stop does what.
+ * The times of the steps of a stop.
  */
 class StopScheduleTests {
 
 	private static final long GRACE_MS = 8_000;
 
 	@Test
-	void theProcessEndsBeforeItsGraceDoes() {
+	void theProcessExitsBeforeItsGracePeriodEnds() {
 		StopSchedule schedule = new StopSchedule(0, GRACE_MS);
 
 		assertThat(schedule.over(7_400)).isFalse();
