--- a/whinjunction-router/src/main/java/io/whinjunction/router/ReportedLimit.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ReportedLimit.java
@@ -1,12 +1,12 @@
 package io.whinjunction.router;
 
 /**
- * What an upstream said last of the requests that it takes. Immutable.
+ * The most recent request limit that an upstream reported. Immutable.
  *
- * @param upstream its incarnation
- * @param perSecond requests a second from all routers together; -1 where it names no
- * limit any more
- * @param ageMs how long ago it said so when this was told, in milliseconds
+ * @param upstream the incarnation of the upstream
+ * @param perSecond the allowed requests per second of all routers together; -1 if the
+ * upstream no longer reports a limit
+ * @param ageMs the age of the upstream's report when this limit was sent, in milliseconds
  */
 record ReportedLimit(String upstream, double perSecond, long ageMs) {
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ReportedLoad.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ReportedLoad.java
@@ -3,26 +3,30 @@
 import java.util.Map;
 
 /**
- * What this router tells others of the memory that its requests take up at engines.
+ * Provides the memory that this router's requests take up at engines, as reported to
+ * peers.
  * <p>
- * The load it answers: a router tells its status many times a second, to whoever asks and
- * to whom it asks, and would look through all engines each time. It looks once a period
- * of questions, which is a small part of how old the word is when others use it. Confined
+ * Load pattern: a router sends its status many times a second, in replies and in its own
+ * messages, and would scan all engines for each of them. The scan runs once per exchange
+ * period, which is a small part of the age of a status update when peers use it. Confined
  * to the event loop.
  */
 final class ReportedLoad {
 
-	/** Bounds a message: engines of a failure domain that a router may use. */
-	private static final int MOST_ENGINES = 48;
+	/**
+	 * Bounds the size of a message: the engines of a failure domain that a router may
+	 * use.
+	 */
+	private static final int MAX_ENGINES = 48;
 
 	private final UpstreamDirectory directory;
 
-	private Map<String, Long> kept = Map.of();
+	private Map<String, Long> cached = Map.of();
 
-	private long keptAtMs = -PeerLink.PERIOD_MS;
+	private long cachedAtMs = -PeerLink.PERIOD_MS;
 
 	/**
-	 * Nothing was told yet.
+	 * Creates a load without a cached value.
 	 * @param directory the engines
 	 */
 	ReportedLoad(UpstreamDirectory directory) {
@@ -30,17 +34,17 @@
 	}
 
 	/**
-	 * What is told now.
-	 * @param nowMs the time
-	 * @return tokens times layers, by the engine's incarnation; those of the busiest
-	 * engines
+	 * Returns the load to report.
+	 * @param nowMs the current time
+	 * @return tokens times layers, by the incarnation of the engine; only the busiest
+	 * engines are included
 	 */
 	Map<String, Long> tokenLayers(long nowMs) {
-		if (nowMs - this.keptAtMs >= PeerLink.PERIOD_MS) {
-			this.kept = Map.copyOf(this.directory.busiest(MOST_ENGINES));
-			this.keptAtMs = nowMs;
+		if (nowMs - this.cachedAtMs >= PeerLink.PERIOD_MS) {
+			this.cached = Map.copyOf(this.directory.busiest(MAX_ENGINES));
+			this.cachedAtMs = nowMs;
 		}
-		return this.kept;
+		return this.cached;
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -10,51 +10,55 @@
 import io.whinjunction.limit.SharedRate;
 
 /**
- * Keeps the limits that upstreams name, as this router's part of them.
+ * Enforces the request limits that upstreams report, as this router's share of them.
  * <p>
- * The load it answers: an upstream in need takes a few requests a second from all routers
- * together. Each of them would send that many by itself, and of a large fleet even one
- * from each would be too many. So only as many routers send there as the limit leaves
- * room for one at once, each at its part of the rate; the others leave it to them. An
- * upstream's word passes from router to router, since whoever doesn't send there doesn't
- * hear it.
+ * Load pattern: an overloaded upstream accepts a few requests a second from all routers
+ * together. Each router would send that many on its own, and in a large fleet even one
+ * request from each would be too many. So only as many routers send to the upstream as
+ * the limit permits to send one request at once, each at its share of the rate; the
+ * others do not send there. Routers report limits to each other, since a router that does
+ * not send to an upstream does not receive its limit.
  * <p>
- * Invariants: the latest word on an upstream holds, by the time at which it was said;
- * without one there is no limit; words on upstreams that are gone are dropped. Confined
- * to the event loop.
+ * Invariants: the latest limit of an upstream applies, by the time at which the upstream
+ * reported it. Without a reported limit there is none. Limits of upstreams that are gone
+ * are dropped. Confined to the event loop.
  */
 final class UpstreamLimits {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** Routers that send to an upstream, for each request a second that it takes. */
+	/**
+	 * The number of routers that send to an upstream per request a second of its limit.
+	 */
 	private static final double SENDERS_PER_LIMIT = 2;
 
-	/** Routers that send to an upstream however little it takes. */
-	private static final int LEAST_SENDERS = 2;
+	/** The number of routers that send to an upstream however low its limit is. */
+	private static final int MIN_SENDERS = 2;
 
 	/**
-	 * The part of a limit that is used: routers that know different fleets choose
-	 * different senders.
+	 * The ratio of a limit that is used. The rest is a reserve, since routers that see
+	 * different fleets choose different senders.
 	 */
-	private static final double USED_PART = 0.9;
+	private static final double USED_RATIO = 0.9;
 
 	/**
-	 * An upstream that takes less than this is sent so much all the same, in requests a
-	 * second: nobody would hear when it takes more.
+	 * The minimum rate at which requests are sent to an upstream however low its limit
+	 * is, in requests per second: without any request no router would learn that the
+	 * limit was raised.
 	 */
-	private static final double LEAST_PER_SECOND = 0.2;
+	private static final double MIN_PER_SECOND = 0.2;
 
-	/** A part is worked out anew after this long, in milliseconds. */
-	private static final long PART_KEPT_MS = 1000;
+	/** The time after which this router's share is recalculated, in milliseconds. */
+	private static final long SHARE_VALID_MS = 1000;
 
 	/**
-	 * That an upstream names no limit any more is told for this long, in milliseconds.
+	 * How long peers are notified that an upstream no longer reports a limit, in
+	 * milliseconds.
 	 */
-	private static final long LIFTED_TOLD_MS = 3000;
+	private static final long LIFTED_REPORTED_MS = 3000;
 
-	/** Bounds a message. */
-	static final int MOST_TOLD = 48;
+	/** Bounds the size of a message. */
+	static final int MAX_REPORTED = 48;
 
 	private final RouterContext router;
 
@@ -63,9 +67,9 @@
 	private final Map<String, Limit> limits = new HashMap<>();
 
 	/**
-	 * Nothing was heard yet.
-	 * @param router the clock, the upstreams and the other routers
-	 * @param random the source of chance
+	 * Creates a table without limits.
+	 * @param router the clock, the upstreams and the peers
+	 * @param random the source of randomness
 	 */
 	UpstreamLimits(RouterContext router, RandomGenerator random) {
 		this.router = router;
@@ -73,50 +77,51 @@
 	}
 
 	/**
-	 * Takes what an answer of an upstream says.
-	 * @param upstream the upstream's incarnation
-	 * @param head the answer's head
+	 * Processes the limit in a response of an upstream.
+	 * @param upstream the incarnation of the upstream
+	 * @param head the head of the response
 	 */
 	void received(String upstream, UpstreamHead head) {
-		// Only an answer of the upstream's own work shows that it is in no need any more.
+		// Only a successful response without a limit, from the upstream's own work,
+		// lifts the limit.
 		boolean lifted = head.limitPerSecond() < 0 && head.success() && this.limits.containsKey(upstream);
 		if (head.limitPerSecond() >= 0 || lifted) {
-			say(upstream, head.limitPerSecond(), this.router.nowMs(), "upstream");
+			update(upstream, head.limitPerSecond(), this.router.nowMs(), "upstream");
 		}
 	}
 
 	/**
-	 * Takes what other routers heard.
-	 * @param told the latest word on each upstream there
+	 * Processes the limits that a peer reported.
+	 * @param peerLimits the latest limit of each upstream at the peer
 	 */
-	void received(List<ReportedLimit> told) {
+	void received(List<ReportedLimit> peerLimits) {
 		long nowMs = this.router.nowMs();
-		for (ReportedLimit limit : told) {
-			boolean sound = limit.ageMs() >= 0 && !Double.isNaN(limit.perSecond());
+		for (ReportedLimit limit : peerLimits) {
+			boolean valid = limit.ageMs() >= 0 && !Double.isNaN(limit.perSecond());
 			boolean known = this.router.directory().find(limit.upstream()) != null;
 			Limit held = this.limits.get(limit.upstream());
-			if (sound && known && (held == null || nowMs - limit.ageMs() > held.saidAtMs)) {
-				say(limit.upstream(), limit.perSecond(), nowMs - limit.ageMs(), "router");
+			if (valid && known && (held == null || nowMs - limit.ageMs() > held.reportedAtMs)) {
+				update(limit.upstream(), limit.perSecond(), nowMs - limit.ageMs(), "router");
 			}
 		}
 	}
 
-	private void say(String upstream, double perSecond, long atMs, String source) {
+	private void update(String upstream, double perSecond, long atMs, String source) {
 		Limit limit = this.limits.computeIfAbsent(upstream, (name) -> new Limit());
 		if (perSecond != limit.perSecond) {
 			logger.atInfo()
 				.log("event=upstream-limit upstream=%s per-second=%s before=%s from=%s", upstream, perSecond,
 						limit.perSecond, source);
-			limit.partAtMs = Long.MIN_VALUE / 2;
+			limit.shareAtMs = Long.MIN_VALUE / 2;
 		}
-		limit.saidAtMs = atMs;
+		limit.reportedAtMs = atMs;
 		limit.perSecond = perSecond;
 	}
 
 	/**
-	 * Whether this router may send a request to an upstream.
-	 * @param upstream the upstream's incarnation
-	 * @return {@code false} where its limit leaves nothing for this router now
+	 * Returns whether this router may send a request to an upstream.
+	 * @param upstream the incarnation of the upstream
+	 * @return {@code false} if the limit currently leaves no request for this router
 	 */
 	boolean allows(String upstream) {
 		Limit limit = this.limits.get(upstream);
@@ -124,22 +129,22 @@
 			return true;
 		}
 		long nowMs = this.router.nowMs();
-		if (nowMs - limit.partAtMs >= PART_KEPT_MS) {
-			limit.rate.set(part(upstream, limit.perSecond), nowMs);
-			limit.partAtMs = nowMs;
+		if (nowMs - limit.shareAtMs >= SHARE_VALID_MS) {
+			limit.rate.set(share(upstream, limit.perSecond), nowMs);
+			limit.shareAtMs = nowMs;
 		}
 		return limit.rate.ready(nowMs);
 	}
 
-	private double part(String upstream, double perSecond) {
-		double used = Math.max(LEAST_PER_SECOND, USED_PART * perSecond);
-		int senders = LEAST_SENDERS + (int) Math.min(Integer.MAX_VALUE / 2, SENDERS_PER_LIMIT * used);
+	private double share(String upstream, double perSecond) {
+		double used = Math.max(MIN_PER_SECOND, USED_RATIO * perSecond);
+		int senders = MIN_SENDERS + (int) Math.min(Integer.MAX_VALUE / 2, SENDERS_PER_LIMIT * used);
 		return used * this.router.peers().partOf(upstream.hashCode(), senders, this.router.nowMs());
 	}
 
 	/**
-	 * A request goes to an upstream.
-	 * @param upstream the upstream's incarnation
+	 * Counts a request that is sent to an upstream.
+	 * @param upstream the incarnation of the upstream
 	 */
 	void sent(String upstream) {
 		Limit limit = this.limits.get(upstream);
@@ -149,8 +154,8 @@
 	}
 
 	/**
-	 * What other routers are told.
-	 * @return the latest words, those that were said last in front
+	 * Returns the limits to report to peers.
+	 * @return the latest limits, most recently reported first
 	 */
 	List<ReportedLimit> limitsToReport() {
 		if (this.limits.isEmpty()) {
@@ -159,28 +164,29 @@
 		long nowMs = this.router.nowMs();
 		return this.limits.entrySet()
 			.stream()
-			.filter((entry) -> entry.getValue().perSecond >= 0 || nowMs - entry.getValue().saidAtMs < LIFTED_TOLD_MS)
+			.filter((entry) -> entry.getValue().perSecond >= 0
+					|| nowMs - entry.getValue().reportedAtMs < LIFTED_REPORTED_MS)
 			.map((entry) -> new ReportedLimit(entry.getKey(), entry.getValue().perSecond,
-					nowMs - entry.getValue().saidAtMs))
+					nowMs - entry.getValue().reportedAtMs))
 			.sorted(Comparator.comparingLong(ReportedLimit::ageMs))
-			.limit(MOST_TOLD)
+			.limit(MAX_REPORTED)
 			.toList();
 	}
 
-	/** Drops what is known of upstreams that are gone. */
+	/** Drops the limits of upstreams that are gone. */
 	void sweep() {
 		this.limits.keySet().removeIf((upstream) -> this.router.directory().find(upstream) == null);
 	}
 
 	/**
-	 * How many upstreams name a limit.
+	 * Returns the number of upstreams that report a limit.
 	 * @return the number
 	 */
 	int count() {
 		return (int) this.limits.values().stream().filter((limit) -> limit.perSecond >= 0).count();
 	}
 
-	/** The latest word on one upstream; confined to the table. */
+	/** The latest limit of one upstream; confined to the table. */
 	private final class Limit {
 
 		private final SharedRate rate = new SharedRate(UpstreamLimits.this.random.nextDouble(),
@@ -188,9 +194,9 @@
 
 		private double perSecond = -1;
 
-		private long saidAtMs = Long.MIN_VALUE / 2;
+		private long reportedAtMs = Long.MIN_VALUE / 2;
 
-		private long partAtMs = Long.MIN_VALUE / 2;
+		private long shareAtMs = Long.MIN_VALUE / 2;
 
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamState.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamState.java
@@ -1,12 +1,13 @@
 package io.whinjunction.router;
 
 /**
- * What this process knows of one upstream besides the list: its own work there, and
- * whether to leave it alone for a while. Confined to the event loop.
+ * The state that this process tracks for one upstream in addition to its list entry: its
+ * own work there, and whether the upstream is currently avoided. Confined to the event
+ * loop.
  */
 final class UpstreamState {
 
-	/** Kept, since each choice of a path looks engines up by it several times. */
+	/** Cached, since each choice of a path looks up engines by it several times. */
 	private final String incarnation;
 
 	private Upstream upstream;
@@ -29,16 +30,16 @@
 	}
 
 	/**
-	 * Names the start of the upstream that this is known of.
-	 * @return {@link Upstream#incarnation()}, the same for the life of this object
+	 * Returns the incarnation of the upstream that this state belongs to.
+	 * @return {@link Upstream#incarnation()}, constant for the life of this object
 	 */
 	String incarnation() {
 		return this.incarnation;
 	}
 
 	/**
-	 * Takes a newer entry of the same start.
-	 * @param newer the entry
+	 * Replaces the list entry by a newer one of the same incarnation.
+	 * @param newer the new entry
 	 */
 	void update(Upstream newer) {
 		this.upstream = newer;
@@ -49,8 +50,8 @@
 	}
 
 	/**
-	 * Memory that this process's requests are expected to take up.
-	 * @return tokens times the layers that they run there
+	 * Returns the memory that this process's requests are expected to take up.
+	 * @return tokens times the layers that are run for them there
 	 */
 	long tokenLayers() {
 		return this.tokenLayers;
@@ -67,8 +68,8 @@
 	}
 
 	/**
-	 * Prompt tokens of this process's requests that have no event yet.
-	 * @return tokens that the upstream has still to read, or reads
+	 * Returns the prompt tokens of this process's requests that have no event yet.
+	 * @return tokens that the upstream is reading or still has to read
 	 */
 	long unreadTokens() {
 		return this.unreadTokens;
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Limits that upstreams name, kept by a fleet of routers in simulated time.
+ * Limits that upstreams report, enforced by a fleet of routers in simulated time.
  */
 class UpstreamLimitsTests {
 
@@ -32,8 +32,8 @@
 
 	private long nowMs = 1_000_000;
 
-	// All routers have as many requests as they like, after a time without any: each of
-	// them would send at once what it has saved up.
+	// All routers have an unlimited supply of requests after an idle time. Guards
+	// against routers that send at once what they saved up during the idle time.
 	@ParameterizedTest(name = "{0} routers, {1} a second")
 	@CsvSource({ "1, 4", "7, 4", "7, 0.5", "95, 0.5", "95, 3.7", "95, 20", "390, 4" })
 	void aFleetSendsNoMoreThanTheLimitAndUsesMostOfIt(int routers, double perSecond) {
@@ -41,7 +41,7 @@
 		fleet.forEach((limits) -> limits.received(UPSTREAM, head(200, perSecond)));
 		fleet.forEach((limits) -> limits.allows(UPSTREAM));
 		this.nowMs += IDLE_MS;
-		hearEachOther();
+		exchangeStatus();
 		List<Long> sentAtMs = new ArrayList<>();
 		long fromMs = this.nowMs;
 		for (; this.nowMs < fromMs + 5 * WINDOW_MS; this.nowMs += STEP_MS) {
@@ -63,7 +63,7 @@
 	}
 
 	@Test
-	void anUpstreamThatNamesNoLimitTakesAll() {
+	void anUpstreamThatReportsNoLimitAcceptsAllRequests() {
 		UpstreamLimits limits = fleet(7).getFirst();
 		limits.received(UPSTREAM, head(200, -1));
 
@@ -72,7 +72,7 @@
 	}
 
 	@Test
-	void aLimitHoldsUntilAnAnswerOfItsOwnWorkNamesNone() {
+	void aLimitAppliesUntilASuccessfulResponseReportsNone() {
 		UpstreamLimits limits = fleet(1).getFirst();
 		limits.received(UPSTREAM, head(200, 0.5));
 		use(limits);
@@ -85,11 +85,10 @@
 		assertThat(limits.allows(UPSTREAM)).isTrue();
 	}
 
-	// An upstream that takes nothing is asked now and then, or nobody would hear when
-	// that
-	// ends.
+	// A request is sent now and then to an upstream that accepts none: otherwise no
+	// router would learn that its limit was raised.
 	@Test
-	void anUpstreamThatTakesNothingIsAskedNowAndThen() {
+	void anUpstreamThatAcceptsNothingIsTriedNowAndThen() {
 		UpstreamLimits limits = fleet(1).getFirst();
 		limits.received(UPSTREAM, head(200, 0));
 		use(limits);
@@ -100,7 +99,7 @@
 	}
 
 	@Test
-	void theWordOfAnotherRouterHoldsHereAndSoDoesItsEnd() {
+	void aLimitReportedByAPeerAppliesAndSoDoesItsRemoval() {
 		List<UpstreamLimits> fleet = fleet(2);
 		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
 		fleet.getLast().received(fleet.getFirst().limitsToReport());
@@ -114,11 +113,10 @@
 		assertThat(fleet.getLast().allows(UPSTREAM)).isTrue();
 	}
 
-	// Routers tell each other what they heard: an old word that comes late must not undo
-	// a
-	// newer one.
+	// Routers report limits to each other: an old report that arrives late must not
+	// replace a newer one.
 	@Test
-	void anOlderWordChangesNothing() {
+	void anOlderReportChangesNothing() {
 		List<UpstreamLimits> fleet = fleet(2);
 		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
 		this.nowMs += 100;
@@ -133,7 +131,7 @@
 	}
 
 	@Test
-	void wordsOnUpstreamsThatAreGoneAreDropped() {
+	void limitsOfUpstreamsThatAreGoneAreDropped() {
 		UpstreamLimits limits = fleet(1).getFirst();
 		limits.received("e-gone", head(200, 0.5));
 		limits.received(List.of(new ReportedLimit("e-unknown", 4, 0), new ReportedLimit(UPSTREAM, 4, -1)));
@@ -142,7 +140,7 @@
 		assertThat(limits.limitsToReport()).isEmpty();
 	}
 
-	// A router of a fleet that is no sender sends nothing, whatever it has saved up.
+	// A router that is not among the senders sends nothing, whatever it has saved up.
 	private void use(UpstreamLimits limits) {
 		this.nowMs += 1;
 		if (limits.allows(UPSTREAM)) {
@@ -160,11 +158,11 @@
 			this.addresses.add(address);
 			this.tables.add(new PeerTable(address, random));
 		});
-		hearEachOther();
+		exchangeStatus();
 		return this.tables.stream().map((peers) -> new UpstreamLimits(context(peers), random)).toList();
 	}
 
-	private void hearEachOther() {
+	private void exchangeStatus() {
 		for (String address : this.addresses) {
 			PeerStatus status = new PeerStatus("n", address, "a", 1, false, 4, 0, List.of(), Map.of(), List.of(), false,
 					Map.of(), false, -1, ListState.NONE, 0, -1);
