--- a/whinjunction-router/src/main/java/io/whinjunction/router/Addresses.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Addresses.java
@@ -5,22 +5,22 @@
 import io.netty.util.NetUtil;
 
 /**
- * Addresses as {@code IP:PORT}. Stateless.
+ * Addresses in the form {@code IP:PORT}. Stateless.
  */
 public final class Addresses {
 
-	private static final int MOST_PORT = 65_535;
+	private static final int MAX_PORT = 65_535;
 
-	private static final int MOST_PORT_DIGITS = 5;
+	private static final int MAX_PORT_DIGITS = 5;
 
 	private Addresses() {
 	}
 
 	/**
-	 * Whether a text is an address; names are none, since nothing here may wait for a
-	 * lookup.
-	 * @param text what was said
-	 * @return whether {@link #parse} can read it
+	 * Returns whether a text is an address. Host names are not accepted, since a name
+	 * lookup would block the event loop.
+	 * @param text the text
+	 * @return whether {@link #parse} accepts the text
 	 */
 	public static boolean valid(String text) {
 		int colon = (text != null) ? text.indexOf(':') : -1;
@@ -29,7 +29,7 @@
 
 	private static boolean validPort(String text, int from) {
 		int digits = text.length() - from;
-		if (digits < 1 || digits > MOST_PORT_DIGITS || text.charAt(from) == '0') {
+		if (digits < 1 || digits > MAX_PORT_DIGITS || text.charAt(from) == '0') {
 			return false;
 		}
 		int port = 0;
@@ -40,14 +40,14 @@
 			}
 			port = 10 * port + digit - '0';
 		}
-		return port <= MOST_PORT;
+		return port <= MAX_PORT;
 	}
 
 	/**
-	 * Reads an address.
+	 * Parses an address.
 	 * @param text a text that is {@link #valid}
 	 * @return the address
-	 * @throws IllegalArgumentException where there is no port
+	 * @throws IllegalArgumentException if the port is missing or not a number
 	 */
 	public static InetSocketAddress parse(String text) {
 		int colon = text.lastIndexOf(':');
@@ -55,9 +55,9 @@
 	}
 
 	/**
-	 * Writes an address.
-	 * @param address an address that is resolved
-	 * @return the text that {@link #parse} reads
+	 * Formats an address.
+	 * @param address a resolved address
+	 * @return the text, in the form that {@link #parse} accepts
 	 */
 	static String text(InetSocketAddress address) {
 		return address.getAddress().getHostAddress() + ":" + address.getPort();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -37,39 +37,39 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * One routing process.
+ * A router process.
  * <p>
- * Everything runs on one event loop: instances have less than one core, and a request
- * touches a table, two connections and a few counters. Invariant: state is touched on the
- * loop only; {@link #stop} and {@link #close} may be called from any thread.
+ * Everything runs on one event loop: an instance has less than one core, and a request
+ * touches only a table, two connections and a few counters. Invariant: state is accessed
+ * on the event loop only; {@link #stop} and {@link #close} may be called from any thread.
  */
 public final class Router implements RouterContext, AutoCloseable {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/**
-	 * What a request may take from the check of its key to the upstream, in milliseconds:
-	 * connecting with its longest time limit.
+	 * The time that a request may take from the check of its key to the upstream, in
+	 * milliseconds: a connection attempt with its longest time limit.
 	 */
 	private static final long KEY_MARGIN_MS = 600;
 
-	/** The pause between two looks at idle connections, in milliseconds. */
-	private static final long SWEEP_MS = 500;
+	/** The interval between two sweeps of idle connections, in milliseconds. */
+	private static final long SWEEP_INTERVAL_MS = 500;
 
 	/**
-	 * The longest pause between two notes of a process that runs, in milliseconds: two
-	 * pauses between its looks at idle connections.
+	 * The maximum interval between two run notes of a running process, in milliseconds:
+	 * two sweep intervals.
 	 */
-	private static final long LONGEST_PAUSE_MS = 2 * SWEEP_MS;
+	private static final long MAX_RUN_NOTE_INTERVAL_MS = 2 * SWEEP_INTERVAL_MS;
 
-	/** The pause before another try to announce, in milliseconds. */
+	/** The delay before a failed announcement is retried, in milliseconds. */
 	private static final long ANNOUNCE_RETRY_MS = 500;
 
 	/**
-	 * What each router of the fleet adds to the time over which they announce themselves
-	 * again after the store came back, in milliseconds.
+	 * The time that each router of the fleet adds to the period over which routers
+	 * announce themselves again after the store was restored, in milliseconds.
 	 */
-	private static final long ANNOUNCE_SPREAD_MS_PER_ROUTER = 20;
+	private static final long ANNOUNCE_JITTER_MS_PER_ROUTER = 20;
 
 	private static final int MAX_HEAD_BYTES = CallerLimits.DEFAULT.maxHeaderBytes();
 
@@ -131,18 +131,18 @@
 
 	private Channel callerListener;
 
-	/** {@code null} until the process is told to stop. */
+	/** {@code null} until the process is ordered to stop. */
 	private StopSchedule stop;
 
 	private final RunningTimes runningTimes;
 
 	/**
-	 * A router.
-	 * @param group its one event loop
+	 * Creates a router.
+	 * @param group its event loop group, with one event loop
 	 * @param settings its settings
-	 * @param ports what it speaks with the platform
+	 * @param ports its interfaces to the platform
 	 * @param boot a clock that counts suspensions
-	 * @param onFatal is run where the process can't do its work, for lack of a port
+	 * @param onFatal is run if the process cannot work because a port is not available
 	 */
 	public Router(EventLoopGroup group, RouterSettings settings, Ports ports, BootClock boot, Runnable onFatal) {
 		this.loop = group.next();
@@ -152,18 +152,19 @@
 		this.dialect = ports.dialect();
 		this.metrics = ports.metrics();
 		this.boot = boot;
-		this.runningTimes = new RunningTimes(boot.nowMs(), LONGEST_PAUSE_MS);
+		this.runningTimes = new RunningTimes(boot.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
 		this.proof = new ConfigurationProof(settings.bounds().keysMs() - KEY_MARGIN_MS,
 				settings.bounds().configurationMs());
 		this.peers = new PeerTable(Addresses.text(settings.peers()), this.random);
 		this.pool = new UpstreamPool(this.loop, this.dialect, this.ticker);
 		this.directory = new UpstreamDirectory((upstream) -> this.pool.drop(upstream.incarnation()));
-		this.engineMonitor = new EngineMonitor(this, ports.engines(), this::engineNews, () -> leadership().holds());
+		this.engineMonitor = new EngineMonitor(this, ports.engines(), this::engineStateChanged,
+				() -> leadership().holds());
 		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().tellNow());
 		this.store = ports.store();
 		this.engines = ports.engines();
 		this.configurationKeeper = new ConfigurationKeeper(this.loop, ports.store(), this.proof, boot,
-				settings.bounds().configurationMs(), () -> directoryKeeper().runsAhead(), this::listenWhenKnown,
+				settings.bounds().configurationMs(), () -> directoryKeeper().runsAhead(), this::listenWhenInitialized,
 				ports.store().era(), this.random);
 		this.leadership = new Leadership(this.loop, ports.store(), settings.name(), this.ticker,
 				() -> peers().hasLeader(nowMs()));
@@ -175,12 +176,12 @@
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
 		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationKeeper,
 				this.directoryKeeper, this.layerReconciler, this.leadership, ports.store().era()));
-		ports.store().era().onReturn(this::storeReturned);
+		ports.store().era().onReturn(this::storeRestored);
 	}
 
 	/**
-	 * Starts to listen and to keep what the store has. Called on the event loop, like the
-	 * constructor, so that one thread at a time loads classes.
+	 * Starts listening and synchronizing with the store. Must be called on the event
+	 * loop, like the constructor, so that one thread at a time loads classes.
 	 */
 	public void start() {
 		this.configurationKeeper.start();
@@ -195,7 +196,7 @@
 		announce();
 		this.crashGuard.records().read();
 		this.loop.schedule(this.callersPort::close, CallersPort.MOST_WAIT_MS, TimeUnit.MILLISECONDS);
-		this.loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+		this.loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
 		ReadyHandler ready = new ReadyHandler(this.dialect.readyPath(), this::ready, this.metrics);
 		listen(this.settings.ready(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), ready));
 		if (this.settings.metrics() != null) {
@@ -218,17 +219,17 @@
 		return this.directoryKeeper;
 	}
 
-	// Callers are let in when there is something to say to them: a request that came a
-	// tenth of a second sooner would only be refused.
-	private void listenWhenKnown() {
-		if (this.callerListener == null && !stopping() && known()) {
+	// Callers are accepted only once their requests can be served: a request that
+	// arrived a tenth of a second earlier would only be refused.
+	private void listenWhenInitialized() {
+		if (this.callerListener == null && !stopping() && initialized()) {
 			this.callerListener = listenForCallers();
 			logger.atInfo()
 				.log("event=listening version=%d upstreams=%d", configuration().version(), this.directory.size());
 		}
 	}
 
-	private boolean known() {
+	private boolean initialized() {
 		return configuration() != null && this.configurationKeeper.confirmed() && this.directoryKeeper.listed();
 	}
 
@@ -251,19 +252,18 @@
 		});
 	}
 
-	// What the store has lost is decided by whoever keeps it; what this router wrote
-	// there
-	// itself is written again, at a time of its own.
-	private void storeReturned() {
+	// Whoever maintains the store decides about the data that it lost. This router
+	// only writes its own entries again, at a random time.
+	private void storeRestored() {
 		this.leadership.storeRestored();
 		this.configurationKeeper.storeReturned();
 		this.directoryKeeper.storeReturned();
 		this.crashGuard.records().storeReturned();
-		long spreadMs = ANNOUNCE_SPREAD_MS_PER_ROUTER * this.peers.sharers(nowMs());
-		this.loop.schedule(this::announce, this.random.nextLong(spreadMs), TimeUnit.MILLISECONDS);
+		long jitterMs = ANNOUNCE_JITTER_MS_PER_ROUTER * this.peers.sharers(nowMs());
+		this.loop.schedule(this::announce, this.random.nextLong(jitterMs), TimeUnit.MILLISECONDS);
 	}
 
-	private void engineNews() {
+	private void engineStateChanged() {
 		this.peerLink.tellNow();
 		this.layerReconciler.plan();
 	}
@@ -317,9 +317,9 @@
 	}
 
 	/**
-	 * Stops: no new callers are wanted, what is in progress goes on, and the process is
-	 * free to end once nothing is.
-	 * @param stopped is run when it is
+	 * Stops the router: reports that it is not ready, lets requests in progress continue,
+	 * and allows the process to exit once none is in progress.
+	 * @param stopped is run when the process may exit
 	 */
 	public void stop(Runnable stopped) {
 		long signalledMs = nowMs();
@@ -343,7 +343,7 @@
 	}
 
 	private boolean ready() {
-		return !stopping() && known() && this.proof.honoursKeys(this.boot.nowMs());
+		return !stopping() && initialized() && this.proof.honoursKeys(this.boot.nowMs());
 	}
 
 	private void sweep() {
@@ -487,12 +487,12 @@
 		this.stopAdmission.answered(family, tookMs);
 	}
 
-	/** What follows from changes of the list of upstreams. */
+	/** Reacts to changes of the list of upstreams. */
 	private final class DirectoryListener implements DirectoryKeeper.Listener {
 
 		@Override
 		public void changed() {
-			listenWhenKnown();
+			listenWhenInitialized();
 			Router.this.layerReconciler.plan();
 		}
 
@@ -509,14 +509,13 @@
 	}
 
 	/**
-	 * What a router speaks with the platform. Immutable.
+	 * The interfaces of a router to the platform. Immutable.
 	 *
 	 * @param dialect the names on the wire
-	 * @param store the platform's store
-	 * @param engines reports and orders
-	 * @param metrics counters that all of them share
-	 * @param callersPort the port for callers, where it is bound already; owned by the
-	 * router
+	 * @param store the store of the platform
+	 * @param engines status queries and orders to engines
+	 * @param metrics counters shared by all components
+	 * @param callersPort the port for callers if it is already bound; owned by the router
 	 */
 	public record Ports(Dialect dialect, FleetStore store, EngineControl engines, RouterMetrics metrics,
 			CallersPort callersPort) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RouterContext.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RouterContext.java
@@ -9,141 +9,143 @@
 import io.whinjunction.routing.RoutingConfiguration;
 
 /**
- * What connections and sessions share in one process. Confined to the event loop.
+ * The components that connections and sessions of one process share. Confined to the
+ * event loop.
  */
 interface RouterContext {
 
 	/**
-	 * The event loop.
-	 * @return the loop that everything runs on
+	 * Returns the event loop.
+	 * @return the loop on which everything runs
 	 */
 	EventLoop loop();
 
 	/**
-	 * The time on a clock that doesn't count suspensions, for time limits.
+	 * Returns the time of a clock that does not count suspensions, for time limits.
 	 * @return milliseconds since an arbitrary origin
 	 */
 	long nowMs();
 
 	/**
-	 * The time on a clock that counts suspensions, for proofs.
+	 * Returns the time of a clock that counts suspensions, for freshness proofs.
 	 * @return milliseconds since an arbitrary origin
 	 */
 	long bootMs();
 
 	/**
-	 * The configuration in force.
-	 * @return the configuration, or {@code null} before the first
+	 * Returns the configuration in force.
+	 * @return the configuration, or {@code null} before the first one
 	 */
 	RoutingConfiguration configuration();
 
 	/**
-	 * How well the configuration is proved.
+	 * Returns the freshness proof of the configuration.
 	 * @return the proof
 	 */
 	ConfigurationProof proof();
 
 	/**
-	 * All upstreams.
+	 * Returns the directory of all upstreams.
 	 * @return the directory
 	 */
 	UpstreamDirectory directory();
 
 	/**
-	 * Chooses upstreams.
+	 * Returns the chooser of upstreams.
 	 * @return the chooser
 	 */
 	TargetChooser chooser();
 
 	/**
-	 * Connections to upstreams.
+	 * Returns the connections to upstreams.
 	 * @return the pool
 	 */
 	UpstreamPool pool();
 
 	/**
-	 * The names on the wire.
+	 * Returns the names on the wire.
 	 * @return the dialect
 	 */
 	Dialect dialect();
 
 	/**
-	 * The part of the repeats to a service that this process may send.
+	 * Returns this process's share of the repeats to a service.
 	 * @param service the service
 	 * @return its budget
 	 */
 	FleetRetryBudget budget(String service);
 
 	/**
-	 * Refuses requests that crash upstreams.
+	 * Returns the guard that refuses requests that crash upstreams.
 	 * @return the guard
 	 */
 	CrashGuard crashGuard();
 
 	/**
-	 * Limits that upstreams name.
+	 * Returns the limits that upstreams reported.
 	 * @return the limits
 	 */
 	UpstreamLimits limits();
 
 	/**
-	 * The callers' open connections.
-	 * @return the set, which connections add themselves to
+	 * Returns the open connections of callers.
+	 * @return the set, to which connections add themselves
 	 */
 	Set<CallerConnection> callers();
 
 	/**
-	 * Counters and histograms.
+	 * Returns the counters and histograms.
 	 * @return the metrics
 	 */
 	RouterMetrics metrics();
 
 	/**
-	 * Whether this process is about to stop.
-	 * @return {@code true} after the signal
+	 * Returns whether this process is stopping.
+	 * @return {@code true} after the stop signal
 	 */
 	boolean stopping();
 
 	/**
-	 * How long this process has been stopping.
-	 * @return milliseconds since the signal; -1 where there was none
+	 * Returns how long this process has been stopping.
+	 * @return milliseconds since the stop signal; -1 if there was none
 	 */
 	long stopAgeMs();
 
 	/**
-	 * Whether new requests are served.
-	 * @return {@code false} where this process stops and is too late for them
+	 * Returns whether new requests are served.
+	 * @return {@code false} if this process is stopping and it is too late for new
+	 * requests
 	 */
 	boolean servesRequests();
 
 	/**
-	 * Judges an attempt that would begin now, where this process stops.
+	 * Judges an attempt that would begin now, if this process is stopping.
 	 * @param candidate the attempt
-	 * @return the judgement, or empty where this process goes on
+	 * @return the judgement, or empty if this process is not stopping
 	 */
 	Optional<StopAdmission.Judgement> judgeInStop(StopAdmission.Candidate candidate);
 
 	/**
-	 * A request was answered as a whole.
-	 * @param family the requests that it belongs to
-	 * @param tookMs how long it took, in milliseconds
+	 * Records the duration of a request that was answered completely.
+	 * @param family the family of the request
+	 * @param tookMs the duration, in milliseconds
 	 */
 	void answered(StopAdmission.Family family, long tookMs);
 
 	/**
-	 * Notices engines that don't answer.
-	 * @return the watch
+	 * Returns the monitor that detects engines that do not reply.
+	 * @return the monitor
 	 */
 	EngineMonitor engineMonitor();
 
 	/**
-	 * Reports of and orders to engines.
+	 * Returns the control that sends status queries and orders to engines.
 	 * @return the control
 	 */
 	EngineControl engines();
 
 	/**
-	 * The other routers.
+	 * Returns the table of peers.
 	 * @return the table
 	 */
 	PeerTable peers();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RouterSettings.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RouterSettings.java
@@ -3,30 +3,32 @@
 import java.net.InetSocketAddress;
 
 /**
- * The settings of a routing process. Immutable.
+ * The settings of a router process. Immutable.
  *
- * @param name this process
- * @param failureDomain where it runs
- * @param callers where it listens for callers
- * @param ready where the balancer asks whether it takes requests
- * @param peers where it takes messages of other routers
- * @param metrics where its metrics are read, or {@code null}
- * @param bounds the times and counts that it keeps to
+ * @param name the name of this process
+ * @param failureDomain the failure domain in which it runs
+ * @param callers the address at which it listens for callers
+ * @param ready the address at which the balancer checks its readiness
+ * @param peers the address at which it receives messages of peers
+ * @param metrics the address at which its metrics are read, or {@code null}
+ * @param bounds its time limits and counts
  */
 public record RouterSettings(String name, String failureDomain, InetSocketAddress callers, InetSocketAddress ready,
 		InetSocketAddress peers, InetSocketAddress metrics, Bounds bounds) {
 
 	/**
-	 * Times and counts. Immutable.
+	 * Time limits and counts. Immutable.
 	 *
-	 * @param keysMs after how long a key that was taken away must not work, in
+	 * @param keysMs the time after which a revoked key must no longer work, in
 	 * milliseconds
-	 * @param configurationMs within which time an accepted configuration must be in
+	 * @param configurationMs the time within which an accepted configuration must be in
 	 * force, in milliseconds
-	 * @param graceMs how long this process may take to stop, in milliseconds
-	 * @param repeatRatio repeats for each request that all routers may send to a service
-	 * @param repeatSlack repeats besides, over all routers in a window
-	 * @param repeatWindowMs the window, in milliseconds
+	 * @param graceMs the time that this process may take to stop, in milliseconds
+	 * @param repeatRatio the number of repeats per request that all routers together may
+	 * send to a service
+	 * @param repeatSlack the number of additional repeats of all routers together in a
+	 * window
+	 * @param repeatWindowMs the length of the window, in milliseconds
 	 * @param drainMs how long an upstream that leaves still serves what is sent to it, in
 	 * milliseconds
 	 */
