--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -25,7 +25,7 @@
  * Invariants: the version in force never goes down; none is proved while another router
  * has a later one. Confined to the event loop.
  */
-final class ConfigurationKeeper {
+final class ConfigurationSynchronizer {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -111,7 +111,7 @@
 	 * @param era the era of the store
 	 * @param random the source of chance
 	 */
-	ConfigurationKeeper(EventLoop loop, FleetStore store, ConfigurationProof proof, BootClock boot, long inForceMs,
+	ConfigurationSynchronizer(EventLoop loop, FleetStore store, ConfigurationProof proof, BootClock boot, long inForceMs,
 			BooleanSupplier runsAhead, Runnable changed, StoreEra era, RandomGenerator random) {
 		this.inForceMs = inForceMs;
 		this.runsAhead = runsAhead;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -16,7 +16,7 @@
 
 	private final RouterSettings settings;
 
-	private final ConfigurationKeeper configurationKeeper;
+	private final ConfigurationSynchronizer configurationSynchronizer;
 
 	private final DirectoryKeeper directoryKeeper;
 
@@ -32,17 +32,17 @@
 	 * A side.
 	 * @param router the clocks, the directory and the other routers
 	 * @param settings this router's name and address
-	 * @param configurationKeeper knows the configuration in force
+	 * @param configurationSynchronizer knows the configuration in force
 	 * @param directoryKeeper knows the list of upstreams
 	 * @param layerKeeper knows which engines are slow, while this router leads
 	 * @param leadership whether it does
 	 * @param era the era of the store
 	 */
-	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationKeeper configurationKeeper,
+	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationSynchronizer configurationSynchronizer,
 			DirectoryKeeper directoryKeeper, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
 		this.router = router;
 		this.settings = settings;
-		this.configurationKeeper = configurationKeeper;
+		this.configurationSynchronizer = configurationSynchronizer;
 		this.directoryKeeper = directoryKeeper;
 		this.layerKeeper = layerKeeper;
 		this.leadership = leadership;
@@ -60,7 +60,7 @@
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
 				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
-				this.directoryKeeper.state(), this.era.current(), this.configurationKeeper.returnAgeMs());
+				this.directoryKeeper.state(), this.era.current(), this.configurationSynchronizer.returnAgeMs());
 	}
 
 	@Override
@@ -68,11 +68,11 @@
 		PeerTable peers = this.router.peers();
 		this.era.heard(status.storeEra());
 		if (status.storeEra() == this.era.current()) {
-			this.configurationKeeper.heardOfReturn(status.storeReturnAgeMs());
+			this.configurationSynchronizer.heardOfReturn(status.storeReturnAgeMs());
 		}
 		peers.heard(status, this.router.nowMs());
 		status.suspects().forEach(this.router.watch()::hearsay);
-		this.configurationKeeper.heard(status.version(), peers.provedAtMs(status), status.address());
+		this.configurationSynchronizer.heard(status.version(), peers.provedAtMs(status), status.address());
 		this.directoryKeeper.heard(status.address(), status.list(), peers.listProvedAtMs(status));
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -109,7 +109,7 @@
 
 	private final EngineControl engines;
 
-	private final ConfigurationKeeper configurationKeeper;
+	private final ConfigurationSynchronizer configurationSynchronizer;
 
 	private final DirectoryKeeper directoryKeeper;
 
@@ -162,7 +162,7 @@
 		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().tellNow());
 		this.store = ports.store();
 		this.engines = ports.engines();
-		this.configurationKeeper = new ConfigurationKeeper(this.loop, ports.store(), this.proof, boot,
+		this.configurationSynchronizer = new ConfigurationSynchronizer(this.loop, ports.store(), this.proof, boot,
 				settings.bounds().configurationMs(), () -> directoryKeeper().runsAhead(), this::listenWhenKnown,
 				ports.store().era(), this.random);
 		this.leadership = new Leadership(this.loop, ports.store(), settings.name(), this.ticker,
@@ -173,7 +173,7 @@
 				settings.failureDomain());
 		this.directoryKeeper = new DirectoryKeeper(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
-		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationKeeper,
+		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationSynchronizer,
 				this.directoryKeeper, this.layerKeeper, this.leadership, ports.store().era()));
 		ports.store().era().onReturn(this::storeReturned);
 	}
@@ -183,13 +183,13 @@
 	 * constructor, so that one thread at a time loads classes.
 	 */
 	public void start() {
-		this.configurationKeeper.start();
+		this.configurationSynchronizer.start();
 		this.directoryKeeper.start();
 		this.leadership.start();
 		this.layerKeeper.start();
 		Channel peerChannel = this.peerLink.start(this.settings.peers());
 		this.closer.register(peerChannel::close);
-		PeerDocuments documents = new PeerDocuments(this.configurationKeeper::document,
+		PeerDocuments documents = new PeerDocuments(this.configurationSynchronizer::document,
 				() -> this.proof.ageMs(this.boot.nowMs()));
 		listen(this.settings.peers(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), documents));
 		announce();
@@ -229,7 +229,7 @@
 	}
 
 	private boolean known() {
-		return configuration() != null && this.configurationKeeper.confirmed() && this.directoryKeeper.listed();
+		return configuration() != null && this.configurationSynchronizer.confirmed() && this.directoryKeeper.listed();
 	}
 
 	private void stopListening() {
@@ -242,7 +242,7 @@
 		this.store.announce(this.settings.name(), Addresses.text(this.settings.peers()), (reply) -> {
 			if (reply instanceof StoreReply.Found<List<String>> found) {
 				this.peers.addresses(found.value());
-				this.configurationKeeper.consulting(this.peerLink.askUnheard());
+				this.configurationSynchronizer.consulting(this.peerLink.askUnheard());
 				logger.atInfo().log("event=announced routers=%d", found.value().size());
 			}
 			else {
@@ -256,7 +256,7 @@
 	// itself is written again, at a time of its own.
 	private void storeReturned() {
 		this.leadership.storeReturned();
-		this.configurationKeeper.storeReturned();
+		this.configurationSynchronizer.storeReturned();
 		this.directoryKeeper.storeReturned();
 		this.crashGuard.records().storeReturned();
 		long spreadMs = ANNOUNCE_SPREAD_MS_PER_ROUTER * this.peers.sharers(nowMs());
@@ -383,7 +383,7 @@
 
 	@Override
 	public RoutingConfiguration configuration() {
-		return this.configurationKeeper.configuration();
+		return this.configurationSynchronizer.configuration();
 	}
 
 	@Override
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
@@ -242,7 +242,7 @@
 
 		private final ConfigurationProof proof = new ConfigurationProof(PROOF_MS, IN_FORCE_MS);
 
-		private final ConfigurationKeeper configuration;
+		private final ConfigurationSynchronizer configuration;
 
 		private final DirectoryKeeper list;
 
@@ -257,7 +257,7 @@
 			this.channel.freezeTime();
 			this.peers = new PeerTable(this.address, StoreReturnModelTests.this.random);
 			FleetStore seen = StoreReturnModelTests.this.store.seenBy(() -> !cut(), this.era);
-			this.configuration = new ConfigurationKeeper(this.channel.eventLoop(), seen, this.proof,
+			this.configuration = new ConfigurationSynchronizer(this.channel.eventLoop(), seen, this.proof,
 					StoreReturnModelTests.this.store::nowMs, IN_FORCE_MS, this::waits, () -> {
 					}, this.era, StoreReturnModelTests.this.random);
 			this.leadership = new Leadership(this.channel.eventLoop(), seen, "r" + index, new Clock(),
