--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectoryKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -20,7 +20,7 @@
  * reach back to, so that none is left out; the list is proved by answers only, each as of
  * its question. Confined to the event loop.
  */
-final class DirectoryKeeper {
+final class DirectorySynchronizer {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -83,7 +83,7 @@
 	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
 	 * @param random the source of chance
 	 */
-	DirectoryKeeper(RouterContext router, FleetStore store, Listener listener, BooleanSupplier leads, long drainMs,
+	DirectorySynchronizer(RouterContext router, FleetStore store, Listener listener, BooleanSupplier leads, long drainMs,
 			RandomGenerator random) {
 		this.router = router;
 		this.listener = listener;
@@ -275,26 +275,26 @@
 
 		@Override
 		public StoreVersion version() {
-			return DirectoryKeeper.this.version;
+			return DirectorySynchronizer.this.version;
 		}
 
 		@Override
 		public long ageMs() {
-			return DirectoryKeeper.this.ageMs();
+			return DirectorySynchronizer.this.ageMs();
 		}
 
 		@Override
 		public void listed(UpstreamListing listing, long askedBootMs) {
-			DirectoryKeeper.this.listed(listing, askedBootMs);
+			DirectorySynchronizer.this.listed(listing, askedBootMs);
 		}
 
 		@Override
 		public void changed(UpstreamChanges changes, long askedBootMs) {
 			proved(askedBootMs);
-			if (changes.extend(DirectoryKeeper.this.version)) {
+			if (changes.extend(DirectorySynchronizer.this.version)) {
 				apply(changes, FROM_STORE);
 				if (changes.size() > 0) {
-					DirectoryKeeper.this.listener.tellOthers();
+					DirectorySynchronizer.this.listener.tellOthers();
 				}
 			}
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -18,7 +18,7 @@
 
 	private final ConfigurationSynchronizer configurationSynchronizer;
 
-	private final DirectoryKeeper directoryKeeper;
+	private final DirectorySynchronizer directorySynchronizer;
 
 	private final LayerKeeper layerKeeper;
 
@@ -33,17 +33,17 @@
 	 * @param router the clocks, the directory and the other routers
 	 * @param settings this router's name and address
 	 * @param configurationSynchronizer knows the configuration in force
-	 * @param directoryKeeper knows the list of upstreams
+	 * @param directorySynchronizer knows the list of upstreams
 	 * @param layerKeeper knows which engines are slow, while this router leads
 	 * @param leadership whether it does
 	 * @param era the era of the store
 	 */
 	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationSynchronizer configurationSynchronizer,
-			DirectoryKeeper directoryKeeper, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
+			DirectorySynchronizer directorySynchronizer, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
 		this.router = router;
 		this.settings = settings;
 		this.configurationSynchronizer = configurationSynchronizer;
-		this.directoryKeeper = directoryKeeper;
+		this.directorySynchronizer = directorySynchronizer;
 		this.layerKeeper = layerKeeper;
 		this.leadership = leadership;
 		this.era = era;
@@ -60,7 +60,7 @@
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
 				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
-				this.directoryKeeper.state(), this.era.current(), this.configurationSynchronizer.returnAgeMs());
+				this.directorySynchronizer.state(), this.era.current(), this.configurationSynchronizer.returnAgeMs());
 	}
 
 	@Override
@@ -73,17 +73,17 @@
 		peers.heard(status, this.router.nowMs());
 		status.suspects().forEach(this.router.watch()::hearsay);
 		this.configurationSynchronizer.heard(status.version(), peers.provedAtMs(status), status.address());
-		this.directoryKeeper.heard(status.address(), status.list(), peers.listProvedAtMs(status));
+		this.directorySynchronizer.heard(status.address(), status.list(), peers.listProvedAtMs(status));
 	}
 
 	@Override
 	public UpstreamChanges changesAfter(StoreVersion after) {
-		return this.directoryKeeper.changesAfter(after);
+		return this.directorySynchronizer.changesAfter(after);
 	}
 
 	@Override
 	public void told(UpstreamChanges changes) {
-		this.directoryKeeper.told(changes);
+		this.directorySynchronizer.told(changes);
 	}
 
 	@Override
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -111,7 +111,7 @@
 
 	private final ConfigurationSynchronizer configurationSynchronizer;
 
-	private final DirectoryKeeper directoryKeeper;
+	private final DirectorySynchronizer directorySynchronizer;
 
 	private final Leadership leadership;
 
@@ -163,7 +163,7 @@
 		this.store = ports.store();
 		this.engines = ports.engines();
 		this.configurationSynchronizer = new ConfigurationSynchronizer(this.loop, ports.store(), this.proof, boot,
-				settings.bounds().configurationMs(), () -> directoryKeeper().runsAhead(), this::listenWhenKnown,
+				settings.bounds().configurationMs(), () -> directorySynchronizer().runsAhead(), this::listenWhenKnown,
 				ports.store().era(), this.random);
 		this.leadership = new Leadership(this.loop, ports.store(), settings.name(), this.ticker,
 				() -> peers().hasLeader(nowMs()));
@@ -171,10 +171,10 @@
 		this.limits = new UpstreamLimits(this, this.random);
 		this.chooser = new TargetChooser(this.directory, this.peers, this.limits, this.layerKeeper.paces(),
 				settings.failureDomain());
-		this.directoryKeeper = new DirectoryKeeper(this, ports.store(), new DirectoryListener(),
+		this.directorySynchronizer = new DirectorySynchronizer(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
 		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationSynchronizer,
-				this.directoryKeeper, this.layerKeeper, this.leadership, ports.store().era()));
+				this.directorySynchronizer, this.layerKeeper, this.leadership, ports.store().era()));
 		ports.store().era().onReturn(this::storeReturned);
 	}
 
@@ -184,7 +184,7 @@
 	 */
 	public void start() {
 		this.configurationSynchronizer.start();
-		this.directoryKeeper.start();
+		this.directorySynchronizer.start();
 		this.leadership.start();
 		this.layerKeeper.start();
 		Channel peerChannel = this.peerLink.start(this.settings.peers());
@@ -214,8 +214,8 @@
 		return this.peerLink;
 	}
 
-	private DirectoryKeeper directoryKeeper() {
-		return this.directoryKeeper;
+	private DirectorySynchronizer directorySynchronizer() {
+		return this.directorySynchronizer;
 	}
 
 	// Callers are let in when there is something to say to them: a request that came a
@@ -229,7 +229,7 @@
 	}
 
 	private boolean known() {
-		return configuration() != null && this.configurationSynchronizer.confirmed() && this.directoryKeeper.listed();
+		return configuration() != null && this.configurationSynchronizer.confirmed() && this.directorySynchronizer.listed();
 	}
 
 	private void stopListening() {
@@ -257,7 +257,7 @@
 	private void storeReturned() {
 		this.leadership.storeReturned();
 		this.configurationSynchronizer.storeReturned();
-		this.directoryKeeper.storeReturned();
+		this.directorySynchronizer.storeReturned();
 		this.crashGuard.records().storeReturned();
 		long spreadMs = ANNOUNCE_SPREAD_MS_PER_ROUTER * this.peers.sharers(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(spreadMs), TimeUnit.MILLISECONDS);
@@ -358,7 +358,7 @@
 		this.metrics.state("version", (configuration() != null) ? configuration().version() : -1);
 		this.metrics.state("proof_age_ms", this.proof.ageMs(this.boot.nowMs()));
 		this.metrics.state("store_era", this.store.era().current());
-		this.metrics.state("list_age_ms", this.directoryKeeper.state().ageMs());
+		this.metrics.state("list_age_ms", this.directorySynchronizer.state().ageMs());
 		this.metrics.state("upstreams", this.directory.size());
 		this.metrics.state("callers", this.callers.size());
 		this.metrics.state("limited_upstreams", this.limits.count());
@@ -488,7 +488,7 @@
 	}
 
 	/** What follows from changes of the list of upstreams. */
-	private final class DirectoryListener implements DirectoryKeeper.Listener {
+	private final class DirectoryListener implements DirectorySynchronizer.Listener {
 
 		@Override
 		public void changed() {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectoryKeeperTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -19,7 +19,7 @@
 /**
  * What a router does with changes of the list of upstreams that others tell.
  */
-class DirectoryKeeperTests {
+class DirectorySynchronizerTests {
 
 	private static final long DRAIN_MS = 2000;
 
@@ -42,7 +42,7 @@
 
 	private int told;
 
-	private final DirectoryKeeper keeper = new DirectoryKeeper(context(), store(), new DirectoryKeeper.Listener() {
+	private final DirectorySynchronizer keeper = new DirectorySynchronizer(context(), store(), new DirectorySynchronizer.Listener() {
 
 		@Override
 		public void changed() {
@@ -50,12 +50,12 @@
 
 		@Override
 		public void tellOthers() {
-			DirectoryKeeperTests.this.told++;
+			DirectorySynchronizerTests.this.told++;
 		}
 
 		@Override
 		public void askForChanges(String address, StoreVersion after) {
-			DirectoryKeeperTests.this.asked.add(after);
+			DirectorySynchronizerTests.this.asked.add(after);
 		}
 
 	}, () -> false, DRAIN_MS, new Random(2));
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
@@ -244,7 +244,7 @@
 
 		private final ConfigurationSynchronizer configuration;
 
-		private final DirectoryKeeper list;
+		private final DirectorySynchronizer list;
 
 		private final Leadership leadership;
 
@@ -262,7 +262,7 @@
 					}, this.era, StoreReturnModelTests.this.random);
 			this.leadership = new Leadership(this.channel.eventLoop(), seen, "r" + index, new Clock(),
 					() -> this.peers.hasLeader(StoreReturnModelTests.this.store.nowMs()));
-			this.list = new DirectoryKeeper(context(), seen, new Talk(), () -> this.leadership.holds(), DRAIN_MS,
+			this.list = new DirectorySynchronizer(context(), seen, new Talk(), () -> this.leadership.holds(), DRAIN_MS,
 					StoreReturnModelTests.this.random);
 			this.era.onReturn(() -> {
 				this.leadership.storeReturned();
@@ -348,7 +348,7 @@
 		}
 
 		/** What the list asks of other routers. */
-		private final class Talk implements DirectoryKeeper.Listener {
+		private final class Talk implements DirectorySynchronizer.Listener {
 
 			@Override
 			public void changed() {
