--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationTrust.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
@@ -14,7 +14,7 @@
  * <p>
  * Times are of the clock of proofs. Confined to the event loop.
  */
-final class ConfigurationTrust {
+final class ConfigurationFreshness {
 
 	/**
 	 * How long after the store came back operators may take to write their newest
@@ -49,7 +49,7 @@
 	 * @param era the era of the store
 	 * @param proofGoodMs the age up to which a proof is good for keys, in milliseconds
 	 */
-	ConfigurationTrust(StoreEra era, long proofGoodMs) {
+	ConfigurationFreshness(StoreEra era, long proofGoodMs) {
 		this.era = era;
 		this.proofGoodMs = proofGoodMs;
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -19,7 +19,7 @@
  * force; a few routers do so sooner than the others, so the fleet reads a few times a
  * period, and not each router once.
  * <p>
- * {@link ConfigurationTrust} says which reads prove anything, where the store has come
+ * {@link ConfigurationFreshness} says which reads prove anything, where the store has come
  * back from an older copy.
  * <p>
  * Invariants: the version in force never goes down; none is proved while another router
@@ -76,7 +76,7 @@
 
 	private final Runnable changed;
 
-	private final ConfigurationTrust trust;
+	private final ConfigurationFreshness trust;
 
 	private final RandomGenerator random;
 
@@ -116,7 +116,7 @@
 		this.inForceMs = inForceMs;
 		this.runsAhead = runsAhead;
 		this.changed = changed;
-		this.trust = new ConfigurationTrust(era, proof.keysBoundMs());
+		this.trust = new ConfigurationFreshness(era, proof.keysBoundMs());
 		this.random = random;
 		this.loop = loop;
 		this.store = store;
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationTrustTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
@@ -7,7 +7,7 @@
 /**
  * When a read of the configuration proves that it is the newest.
  */
-class ConfigurationTrustTests {
+class ConfigurationFreshnessTests {
 
 	private static final long PROOF_GOOD_MS = 5000;
 
@@ -15,7 +15,7 @@
 
 	private final StoreEra era = new StoreEra();
 
-	private final ConfigurationTrust trust = new ConfigurationTrust(this.era, PROOF_GOOD_MS);
+	private final ConfigurationFreshness trust = new ConfigurationFreshness(this.era, PROOF_GOOD_MS);
 
 	@Test
 	void aStoreThatNamesNoEraIsTrustedAtOnce() {
