--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -10,7 +10,7 @@
 
 /**
  * Keeps the directory of upstreams as the platform's store has it: lists and changes,
- * read by a {@link ListReader} and told by other routers.
+ * read by a {@link UpstreamListReader} and told by other routers.
  * <p>
  * Where the store has come back from an older copy, the list of before stays in use until
  * it is listed anew, and nothing proves it; what the copy doesn't have is kept for as
@@ -53,7 +53,7 @@
 
 	private final Listener listener;
 
-	private final ListReader reader;
+	private final UpstreamListReader reader;
 
 	private final RecentChanges recent = new RecentChanges();
 
@@ -87,7 +87,7 @@
 			RandomGenerator random) {
 		this.router = router;
 		this.listener = listener;
-		this.reader = new ListReader(router, store, new Read(), leads, drainMs, random);
+		this.reader = new UpstreamListReader(router, store, new Read(), leads, drainMs, random);
 	}
 
 	boolean listed() {
@@ -271,7 +271,7 @@
 	}
 
 	/** What is read from the store. */
-	private final class Read implements ListReader.Reader {
+	private final class Read implements UpstreamListReader.Reader {
 
 		@Override
 		public StoreVersion version() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -21,7 +21,7 @@
  * Invariants: at most one list or look and at most one wait are under way; each answer is
  * dated by its question. Confined to the event loop.
  */
-final class ListReader {
+final class UpstreamListReader {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -84,7 +84,7 @@
 	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
 	 * @param random the source of chance
 	 */
-	ListReader(RouterContext router, FleetStore store, Reader reader, BooleanSupplier leads, long drainMs,
+	UpstreamListReader(RouterContext router, FleetStore store, Reader reader, BooleanSupplier leads, long drainMs,
 			RandomGenerator random) {
 		this.router = router;
 		this.store = store;
