--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -98,8 +98,8 @@
 	 * How this router knows the list.
 	 * @return its version and the age of the proof that it is the newest
 	 */
-	ListState state() {
-		return this.listed ? new ListState(this.version, this.changedAt, ageMs(), this.reader.waits()) : ListState.NONE;
+	UpstreamListState state() {
+		return this.listed ? new UpstreamListState(this.version, this.changedAt, ageMs(), this.reader.waits()) : UpstreamListState.NONE;
 	}
 
 	/**
@@ -224,7 +224,7 @@
 	 * @param theirProvedAtMs when its version was the newest for certain, on the clock of
 	 * proofs
 	 */
-	void heard(String address, ListState theirs, long theirProvedAtMs) {
+	void heard(String address, UpstreamListState theirs, long theirProvedAtMs) {
 		if (!this.listed || theirs.version().era() != this.version.era()) {
 			return;
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerCodec.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerCodec.java
@@ -66,7 +66,7 @@
 	}
 
 	private static RouterStatus encoded(PeerStatus status) {
-		ListState list = status.list();
+		UpstreamListState list = status.list();
 		return new RouterStatus(status.name(), status.address(), status.failureDomain(), status.sequence(),
 				status.answer(), status.version(), status.proofAgeMs(), status.suspects(), status.tokenLayersByEngine(),
 				status.routers(), status.leaving(), status.paceByEngine(), status.leading(), status.leaderAgeMs(),
@@ -156,7 +156,7 @@
 		if (!Addresses.valid(status.getAddress()) || !allValid(status.getRouters())) {
 			return Optional.empty();
 		}
-		ListState list = new ListState(new StoreVersion(status.getListEra(), status.getListRevision()),
+		UpstreamListState list = new UpstreamListState(new StoreVersion(status.getListEra(), status.getListRevision()),
 				status.getListChangedAt(), status.getListAgeMs(), status.isWatchesList());
 		return Optional.of(new PeerStatus(status.getName(), status.getAddress(), status.getFailureDomain(),
 				status.getSequence(), status.isAnswer(), status.getVersion(), status.getProofAgeMs(),
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerStatus.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerStatus.java
@@ -31,7 +31,7 @@
  */
 record PeerStatus(String name, String address, String failureDomain, long sequence, boolean answer, long version,
 		long proofAgeMs, List<String> suspects, Map<String, Long> tokenLayersByEngine, List<String> routers,
-		boolean leaving, Map<String, Double> paceByEngine, boolean leading, long leaderAgeMs, ListState list,
+		boolean leaving, Map<String, Double> paceByEngine, boolean leading, long leaderAgeMs, UpstreamListState list,
 		long storeEra, long storeReturnAgeMs) implements PeerMessage {
 
 	PeerStatus {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListState.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListState.java
@@ -12,9 +12,9 @@
  * milliseconds; -1 where that isn't known
  * @param watching whether it waits at the store for changes
  */
-record ListState(StoreVersion version, long changedAt, long ageMs, boolean watching) {
+record UpstreamListState(StoreVersion version, long changedAt, long ageMs, boolean watching) {
 
 	/** Before the first list. */
-	static final ListState NONE = new ListState(StoreVersion.NONE, 0, -1, false);
+	static final UpstreamListState NONE = new UpstreamListState(StoreVersion.NONE, 0, -1, false);
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -70,7 +70,7 @@
 
 	@Test
 	void whatAnotherRouterKnowsBeyondOnesOwnListIsAskedForAndApplied() {
-		hear(new ListState(Versions.v(12), 12, 0, true));
+		hear(new UpstreamListState(Versions.v(12), 12, 0, true));
 
 		assertThat(this.asked).containsExactly(Versions.v(10));
 
@@ -91,7 +91,7 @@
 		this.keeper.told(changes);
 		assertThat(this.directory.size()).isEqualTo(2);
 
-		hear(new ListState(Versions.v(14), 12, 0, true));
+		hear(new UpstreamListState(Versions.v(14), 12, 0, true));
 		this.keeper.told(new UpstreamChanges(Versions.v(11), List.of(), List.of("a"), Versions.v(14)));
 		assertThat(this.directory.size()).isEqualTo(2);
 
@@ -99,7 +99,7 @@
 		assertThat(this.directory.size()).isEqualTo(1);
 
 		this.nowMs += 1000;
-		hear(new ListState(Versions.v(16), 16, 0, true));
+		hear(new UpstreamListState(Versions.v(16), 16, 0, true));
 		this.keeper.told(new UpstreamChanges(Versions.v(10), List.of(upstream("a", 1)), List.of(), Versions.v(12)));
 		assertThat(this.directory.size()).isEqualTo(1);
 		assertThat(this.keeper.state().version()).isEqualTo(Versions.v(12));
@@ -109,7 +109,7 @@
 	// each other one what has changed: nothing has.
 	@Test
 	void aLaterRevisionWithoutChangesIsTakenOverWithoutAQuestion() {
-		hear(new ListState(Versions.v(40), 9, 0, true));
+		hear(new UpstreamListState(Versions.v(40), 9, 0, true));
 
 		assertThat(this.asked).isEmpty();
 		assertThat(this.keeper.state().version()).isEqualTo(Versions.v(40));
@@ -171,7 +171,7 @@
 		assertThat(this.directory.find("a")).isNotNull();
 
 		this.nowMs += 3 * DRAIN_MS;
-		hear(new ListState(returned.at(6), 5, 0, true));
+		hear(new UpstreamListState(returned.at(6), 5, 0, true));
 		pass(DRAIN_MS);
 		assertThat(this.directory.find("a")).isNull();
 	}
@@ -181,7 +181,7 @@
 		this.channel.runScheduledPendingTasks();
 	}
 
-	private void hear(ListState state) {
+	private void hear(UpstreamListState state) {
 		this.keeper.heard("10.0.0.2:1", state, this.nowMs);
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/HeardRoutersTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/HeardRoutersTests.java
@@ -85,7 +85,7 @@
 	private static PeerStatus status(String address, Map<String, Long> tokenLayers, Map<String, Double> paces,
 			boolean leaving, boolean watching) {
 		return new PeerStatus("n", address, "a", 1, false, 4, 0, List.of(), tokenLayers, List.of(), leaving, paces,
-				false, -1, new ListState(Versions.v(1), 1, 0, watching), 0, -1);
+				false, -1, new UpstreamListState(Versions.v(1), 1, 0, watching), 0, -1);
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
@@ -324,7 +324,7 @@
 					List.of(), false, Map.of(), other.leadership.holds(), other.peers.leaderAgeMs(nowMs),
 					other.list.state(), other.era.current(), other.configuration.returnAgeMs()), nowMs);
 			this.configuration.heard(version, provedAtMs, other.address);
-			ListState state = other.list.state();
+			UpstreamListState state = other.list.state();
 			this.list.heard(other.address, state, (state.ageMs() < 0) ? Long.MIN_VALUE : nowMs - state.ageMs());
 		}
 
