--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -62,7 +62,7 @@
 	/** The revision with which the list last changed. */
 	private long changedAt;
 
-	private final ReturnedList returned = new ReturnedList();
+	private final RestoredListFilter returned = new RestoredListFilter();
 
 	private boolean listed;
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ReturnedList.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RestoredListFilter.java
@@ -20,7 +20,7 @@
  * <p>
  * Confined to the event loop.
  */
-final class ReturnedList {
+final class RestoredListFilter {
 
 	/** Names of upstreams that the copy lacks and that may write themselves again. */
 	private final Set<String> missing = new HashSet<>();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ReturnedListTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/RestoredListFilterTests.java
@@ -12,13 +12,13 @@
 /**
  * What holds of upstreams after the store came back from an older copy.
  */
-class ReturnedListTests {
+class RestoredListFilterTests {
 
 	private static final StoreVersion BEFORE = new StoreVersion(1, 100);
 
 	private static final StoreVersion AFTER = new StoreVersion(2, 90);
 
-	private final ReturnedList returned = new ReturnedList();
+	private final RestoredListFilter returned = new RestoredListFilter();
 
 	@Test
 	void whoeverSaidThatItLeavesStaysLeftUntilItWritesItselfAgain() {
