--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -191,7 +191,7 @@
 
 	private void retryLook() {
 		if (!this.relisting) {
-			in(WatchPause.ms(this.router.peers().sharers(this.router.nowMs()), this.drainMs), this::step);
+			in(WatchRetryDelay.ms(this.router.peers().sharers(this.router.nowMs()), this.drainMs), this::step);
 		}
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/WatchPause.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/WatchRetryDelay.java
@@ -7,7 +7,7 @@
  * have their price too. The larger the fleet, the longer each router waits, as far as an
  * upstream that leaves is still noticed well before it stops serving. Stateless.
  */
-final class WatchPause {
+final class WatchRetryDelay {
 
 	/** The pause in a small fleet, in milliseconds. */
 	private static final long LEAST_MS = 400;
@@ -21,7 +21,7 @@
 	 */
 	private static final double DRAIN_PART = 0.4;
 
-	private WatchPause() {
+	private WatchRetryDelay() {
 	}
 
 	/**
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
@@ -126,7 +126,7 @@
 
 		private long look(long nowMs, boolean reachesStore) {
 			if (!reachesStore) {
-				return WatchPause.ms(ROUTERS, DRAIN_MS);
+				return WatchRetryDelay.ms(ROUTERS, DRAIN_MS);
 			}
 			this.provedAtMs = nowMs;
 			if (!this.waits) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/WatchPauseTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/WatchRetryDelayTests.java
@@ -7,21 +7,21 @@
 /**
  * How often routers try to watch the list of upstreams while the store refuses them.
  */
-class WatchPauseTests {
+class WatchRetryDelayTests {
 
 	private static final long DRAIN_MS = 3000;
 
 	@Test
 	void aSmallFleetTriesAgainSoon() {
-		assertThat(WatchPause.ms(1, DRAIN_MS)).isEqualTo(400);
-		assertThat(WatchPause.ms(9, DRAIN_MS)).isEqualTo(400);
+		assertThat(WatchRetryDelay.ms(1, DRAIN_MS)).isEqualTo(400);
+		assertThat(WatchRetryDelay.ms(9, DRAIN_MS)).isEqualTo(400);
 	}
 
 	// A store that is down is asked 220 times a second by 88 routers for the list alone,
 	// and each refused call has its price.
 	@Test
 	void aLargeFleetCallsLessThanAHundredTimesASecond() {
-		assertThat(88 * 1000.0 / WatchPause.ms(88, DRAIN_MS)).isLessThan(100);
+		assertThat(88 * 1000.0 / WatchRetryDelay.ms(88, DRAIN_MS)).isLessThan(100);
 	}
 
 	// A caller's request is sent to an upstream that has gone: the pause must end while a
@@ -29,7 +29,7 @@
 	@Test
 	void aLeavingUpstreamIsNoticedBeforeHalfOfItsTimeIsOver() {
 		for (int routers = 1; routers < 1000; routers++) {
-			assertThat(WatchPause.ms(routers, DRAIN_MS)).isLessThan(DRAIN_MS / 2);
+			assertThat(WatchRetryDelay.ms(routers, DRAIN_MS)).isLessThan(DRAIN_MS / 2);
 		}
 	}
 
