--- a/whinjunction-router/src/test/java/io/whinjunction/router/ModelStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -18,7 +18,7 @@
  * A store in simulated time, whose calls and answers are late or lost, and which comes
  * back from older copies of itself. For one thread.
  */
-final class ModelStore {
+final class SimulatedStore {
 
 	private static final long CALL_MS = 1000;
 
@@ -52,7 +52,7 @@
 	 * @param random the source of chance
 	 * @param peers the configuration of a router, by its address
 	 */
-	ModelStore(Random random, Function<String, StoreReply<FleetStore.Fetched>> peers) {
+	SimulatedStore(Random random, Function<String, StoreReply<FleetStore.Fetched>> peers) {
 		this.random = random;
 		this.peers = peers;
 	}
@@ -167,7 +167,7 @@
 		}
 
 		private void end() {
-			if (ModelStore.this.waits.remove(this)) {
+			if (SimulatedStore.this.waits.remove(this)) {
 				this.answer.run();
 			}
 		}
@@ -205,14 +205,14 @@
 				return;
 			}
 			later(delayMs(), () -> {
-				if (!ModelStore.this.away) {
+				if (!SimulatedStore.this.away) {
 					work.accept((reply) -> answer(question, reply, once));
 				}
 			});
 		}
 
 		private <T> void answer(StoreEra.Question question, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
-			long saidEra = ModelStore.this.era;
+			long saidEra = SimulatedStore.this.era;
 			if (!rarely(20)) {
 				later(delayMs(), () -> {
 					if (this.reach.now()) {
@@ -223,38 +223,38 @@
 		}
 
 		private long delayMs() {
-			return rarely(15) ? ModelStore.this.random.nextInt(3000) : 1 + ModelStore.this.random.nextInt(20);
+			return rarely(15) ? SimulatedStore.this.random.nextInt(3000) : 1 + SimulatedStore.this.random.nextInt(20);
 		}
 
 		@Override
 		public void readConfiguration(Consumer<StoreReply<ConfigurationDocument>> done) {
 			this.<ConfigurationDocument>call(this.heard.free(), CALL_MS, (answer) -> answer
-				.give(new StoreReply.Found<>(document(ModelStore.this.state.configurationVersion))), done);
+				.give(new StoreReply.Found<>(document(SimulatedStore.this.state.configurationVersion))), done);
 		}
 
 		@Override
 		public void fetchConfiguration(String peerAddress, Consumer<StoreReply<Fetched>> done) {
-			later(delayMs(), () -> done.accept(ModelStore.this.peers.apply(peerAddress)));
+			later(delayMs(), () -> done.accept(SimulatedStore.this.peers.apply(peerAddress)));
 		}
 
 		@Override
 		public void listUpstreams(Consumer<StoreReply<UpstreamListing>> done) {
 			this.<UpstreamListing>call(this.heard.free(), CALL_MS, (answer) -> {
-				State now = ModelStore.this.state;
+				State now = SimulatedStore.this.state;
 				answer.give(new StoreReply.Found<>(new UpstreamListing(List.copyOf(now.upstreams.values()),
-						new StoreVersion(ModelStore.this.era, now.revision))));
+						new StoreVersion(SimulatedStore.this.era, now.revision))));
 			}, done);
 		}
 
 		@Override
 		public void watchUpstreams(StoreVersion after, long waitMs, Consumer<StoreReply<UpstreamChanges>> done) {
 			this.<UpstreamChanges>call(this.heard.tied(after.era()), waitMs + CALL_MS, (answer) -> {
-				if (after.revision() > ModelStore.this.state.revision) {
+				if (after.revision() > SimulatedStore.this.state.revision) {
 					answer.give(new StoreReply.Outdated<>());
 					return;
 				}
 				Wait wait = new Wait(() -> answer.give(new StoreReply.Found<>(changes(after))));
-				ModelStore.this.waits.add(wait);
+				SimulatedStore.this.waits.add(wait);
 				if (changes(after).size() > 0) {
 					wait.end();
 				}
@@ -263,16 +263,16 @@
 		}
 
 		private UpstreamChanges changes(StoreVersion after) {
-			Map<String, Upstream> then = ModelStore.this.history.stream()
+			Map<String, Upstream> then = SimulatedStore.this.history.stream()
 				.filter((state) -> state.revision == after.revision())
 				.findFirst()
-				.orElse(ModelStore.this.state)
+				.orElse(SimulatedStore.this.state)
 				.upstreams();
-			List<Upstream> changed = ModelStore.this.state.upstreams.values()
+			List<Upstream> changed = SimulatedStore.this.state.upstreams.values()
 				.stream()
 				.filter((upstream) -> !upstream.equals(then.get(upstream.id())))
 				.toList();
-			return new UpstreamChanges(after, changed, List.of(), after.at(ModelStore.this.state.revision));
+			return new UpstreamChanges(after, changed, List.of(), after.at(SimulatedStore.this.state.revision));
 		}
 
 		@Override
@@ -283,7 +283,7 @@
 		@Override
 		public void readLease(Consumer<StoreReply<LeaseObject>> done) {
 			this.<LeaseObject>call(this.heard.free(), LEASE_CALL_MS, (answer) -> {
-				Lease lease = ModelStore.this.state.lease;
+				Lease lease = SimulatedStore.this.state.lease;
 				answer.give((lease != null) ? new StoreReply.Found<>(object(lease)) : new StoreReply.Absent<>());
 			}, done);
 		}
@@ -291,7 +291,7 @@
 		@Override
 		public void writeLease(LeaseObject lease, Consumer<StoreReply<LeaseObject>> done) {
 			this.<LeaseObject>call(this.heard.tied(lease.version().era()), LEASE_CALL_MS, (answer) -> {
-				State now = ModelStore.this.state;
+				State now = SimulatedStore.this.state;
 				long standing = (now.lease != null) ? now.lease.revision : 0;
 				if (standing != lease.version().revision()) {
 					answer.give(new StoreReply.Outdated<>());
@@ -320,7 +320,7 @@
 
 		private LeaseObject object(Lease lease) {
 			return new LeaseObject(lease.holder, lease.fencing, lease.nonce,
-					new StoreVersion(ModelStore.this.era, lease.revision));
+					new StoreVersion(SimulatedStore.this.era, lease.revision));
 		}
 
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
@@ -51,7 +51,7 @@
 
 	private Random random;
 
-	private ModelStore store;
+	private SimulatedStore store;
 
 	private final List<Member> members = new ArrayList<>();
 
@@ -91,7 +91,7 @@
 
 	private void play(long seed) {
 		this.random = new Random(seed);
-		this.store = new ModelStore(this.random, this::configurationOf);
+		this.store = new SimulatedStore(this.random, this::configurationOf);
 		this.members.clear();
 		this.lifeByAcceptedNumber.clear();
 		this.newestWords.clear();
