--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -23,7 +23,7 @@
  * itself, with calls and answers that are late or lost, routers that are cut off and
  * start again, an operator and upstreams that write again what was lost.
  */
-class StoreReturnModelTests {
+class StoreRollbackModelTests {
 
 	private static final int ROUTERS = 3;
 
@@ -227,7 +227,7 @@
 	/** One router, in one life. */
 	private final class Member {
 
-		private final int life = StoreReturnModelTests.this.lives++;
+		private final int life = StoreRollbackModelTests.this.lives++;
 
 		private final String address;
 
@@ -255,15 +255,15 @@
 		private Member(int index) {
 			this.address = "10.0.0." + (index + 1) + ":1";
 			this.channel.freezeTime();
-			this.peers = new PeerTable(this.address, StoreReturnModelTests.this.random);
-			FleetStore seen = StoreReturnModelTests.this.store.seenBy(() -> !cut(), this.era);
+			this.peers = new PeerTable(this.address, StoreRollbackModelTests.this.random);
+			FleetStore seen = StoreRollbackModelTests.this.store.seenBy(() -> !cut(), this.era);
 			this.configuration = new ConfigurationSynchronizer(this.channel.eventLoop(), seen, this.proof,
-					StoreReturnModelTests.this.store::nowMs, IN_FORCE_MS, this::waits, () -> {
-					}, this.era, StoreReturnModelTests.this.random);
+					StoreRollbackModelTests.this.store::nowMs, IN_FORCE_MS, this::waits, () -> {
+					}, this.era, StoreRollbackModelTests.this.random);
 			this.leadership = new Leadership(this.channel.eventLoop(), seen, "r" + index, new Clock(),
-					() -> this.peers.hasLeader(StoreReturnModelTests.this.store.nowMs()));
+					() -> this.peers.hasLeader(StoreRollbackModelTests.this.store.nowMs()));
 			this.list = new DirectorySynchronizer(context(), seen, new Talk(), () -> this.leadership.holds(), DRAIN_MS,
-					StoreReturnModelTests.this.random);
+					StoreRollbackModelTests.this.random);
 			this.era.onReturn(() -> {
 				this.leadership.storeReturned();
 				this.configuration.storeReturned();
@@ -280,7 +280,7 @@
 		}
 
 		private boolean cut() {
-			return StoreReturnModelTests.this.store.nowMs() < this.cutUntilMs;
+			return StoreRollbackModelTests.this.store.nowMs() < this.cutUntilMs;
 		}
 
 		private RouterContext context() {
@@ -288,31 +288,31 @@
 					this.peers);
 			return (RouterContext) Proxy.newProxyInstance(getClass().getClassLoader(),
 					new Class<?>[] { RouterContext.class }, (proxy, method, args) -> answers
-						.getOrDefault(method.getName(), StoreReturnModelTests.this.store.nowMs()));
+						.getOrDefault(method.getName(), StoreRollbackModelTests.this.store.nowMs()));
 		}
 
 		private void tick() {
 			this.channel.advanceTimeBy(TICK_MS, TimeUnit.MILLISECONDS);
 			this.channel.runScheduledPendingTasks();
 			this.channel.runPendingTasks();
-			long nowMs = StoreReturnModelTests.this.store.nowMs();
+			long nowMs = StoreRollbackModelTests.this.store.nowMs();
 			if (nowMs >= this.nextTalkMs) {
 				this.nextTalkMs = nowMs + PeerLink.PERIOD_MS;
-				StoreReturnModelTests.this.members.forEach(this::hear);
+				StoreRollbackModelTests.this.members.forEach(this::hear);
 			}
 			if (this.leadership.holds() && once(200)) {
 				long number = this.leadership.fencing();
-				StoreReturnModelTests.this.store.later(StoreReturnModelTests.this.random.nextInt(1500),
+				StoreRollbackModelTests.this.store.later(StoreRollbackModelTests.this.random.nextInt(1500),
 						() -> accept(number, this.life));
 			}
 		}
 
 		// What a question and its answer do, without the time that they take.
 		private void hear(Member other) {
-			if (other == this || StoreReturnModelTests.this.random.nextInt(20) == 0) {
+			if (other == this || StoreRollbackModelTests.this.random.nextInt(20) == 0) {
 				return;
 			}
-			long nowMs = StoreReturnModelTests.this.store.nowMs();
+			long nowMs = StoreRollbackModelTests.this.store.nowMs();
 			long version = other.version();
 			long ageMs = other.proof.ageMs(nowMs);
 			long provedAtMs = (ageMs < PROOF_MS) ? nowMs - ageMs : Long.MIN_VALUE;
@@ -337,7 +337,7 @@
 
 			@Override
 			public long nowMs() {
-				return StoreReturnModelTests.this.store.nowMs();
+				return StoreRollbackModelTests.this.store.nowMs();
 			}
 
 			@Override
@@ -360,7 +360,7 @@
 
 			@Override
 			public void askForChanges(String otherAddress, StoreVersion after) {
-				StoreReturnModelTests.this.members.stream()
+				StoreRollbackModelTests.this.members.stream()
 					.filter((other) -> other.address.equals(otherAddress))
 					.forEach((other) -> Member.this.list.told(other.list.changesAfter(after)));
 			}
