--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -22,7 +22,7 @@
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/** An answer that doesn't say its era, or not in a way that can be read. */
-	public static final long UNSAID = -1;
+	public static final long UNSPECIFIED = -1;
 
 	/** The pause between two lines about answers that are passed over, in seconds. */
 	private static final int PASSED_OVER_LOG_S = 5;
@@ -62,35 +62,35 @@
 
 	/**
 	 * The era of what an answer holds.
-	 * @param saidEra what it says, or {@link #UNSAID}
+	 * @param saidEra what it says, or {@link #UNSPECIFIED}
 	 * @return the era
 	 */
 	public long of(long saidEra) {
-		return (saidEra == UNSAID) ? this.current : saidEra;
+		return (saidEra == UNSPECIFIED) ? this.current : saidEra;
 	}
 
 	/**
 	 * Takes an answer of the store.
 	 * @param question under which era it was asked, and whether it makes sense there only
-	 * @param saidEra the era that the answer says, or {@link #UNSAID}
+	 * @param saidEra the era that the answer says, or {@link #UNSPECIFIED}
 	 * @param reply what it says beside that
 	 * @param <T> what was asked for
 	 * @return what may be used of it
 	 */
 	public <T> StoreReply<T> judge(Question question, long saidEra, StoreReply<T> reply) {
-		if (saidEra == UNSAID && this.known) {
+		if (saidEra == UNSPECIFIED && this.known) {
 			logger.atWarning()
 				.atMostEvery(PASSED_OVER_LOG_S, TimeUnit.SECONDS)
 				.log("event=answer-without-era era=%d", this.current);
 		}
-		long answerEra = (saidEra == UNSAID) ? question.era() : saidEra;
+		long answerEra = (saidEra == UNSPECIFIED) ? question.era() : saidEra;
 		if (this.known && answerEra < this.current) {
 			logger.atWarning()
 				.atMostEvery(PASSED_OVER_LOG_S, TimeUnit.SECONDS)
 				.log("event=answer-of-earlier-era era=%d current=%d", answerEra, this.current);
 			return new StoreReply.Unavailable<>("of era " + answerEra + ", now " + this.current);
 		}
-		if (saidEra != UNSAID) {
+		if (saidEra != UNSPECIFIED) {
 			advance(saidEra);
 		}
 		boolean outlived = question.tied() && answerEra != question.era();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -72,14 +72,14 @@
 
 	@Test
 	void anAnswerThatSaysNoEraChangesNothing() {
-		assertThat(answer(this.era.free(), StoreEra.UNSAID)).isEqualTo(found());
+		assertThat(answer(this.era.free(), StoreEra.UNSPECIFIED)).isEqualTo(found());
 		assertThat(this.era.known()).isFalse();
 
 		StoreEra.Question before = this.era.free();
 		answer(this.era.free(), 3);
 		StoreEra.Question now = this.era.free();
-		assertThat(answer(now, StoreEra.UNSAID)).isEqualTo(found());
-		assertThat(answer(before, StoreEra.UNSAID)).isInstanceOf(StoreReply.Unavailable.class);
+		assertThat(answer(now, StoreEra.UNSPECIFIED)).isEqualTo(found());
+		assertThat(answer(before, StoreEra.UNSPECIFIED)).isInstanceOf(StoreReply.Unavailable.class);
 		assertThat(this.era.current()).isEqualTo(3);
 	}
 
