--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -175,7 +175,7 @@
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
 		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationSynchronizer,
 				this.directorySynchronizer, this.layerKeeper, this.leadership, ports.store().era()));
-		ports.store().era().onReturn(this::storeReturned);
+		ports.store().era().onRestore(this::storeReturned);
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -56,7 +56,7 @@
 	 * Hears of each later era.
 	 * @param listener is run once for each, on the event loop
 	 */
-	void onReturn(Runnable listener) {
+	void onRestore(Runnable listener) {
 		this.listeners.add(listener);
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -14,7 +14,7 @@
 	private int returns;
 
 	StoreEraTests() {
-		this.era.onReturn(() -> this.returns++);
+		this.era.onRestore(() -> this.returns++);
 	}
 
 	@Test
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -264,7 +264,7 @@
 					() -> this.peers.hasLeader(StoreRollbackModelTests.this.store.nowMs()));
 			this.list = new DirectorySynchronizer(context(), seen, new Talk(), () -> this.leadership.holds(), DRAIN_MS,
 					StoreRollbackModelTests.this.random);
-			this.era.onReturn(() -> {
+			this.era.onRestore(() -> {
 				this.leadership.storeReturned();
 				this.configuration.storeReturned();
 				this.list.storeReturned();
