--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -66,7 +66,7 @@
 	@Override
 	public void heard(PeerStatus status) {
 		PeerTable peers = this.router.peers();
-		this.era.heard(status.storeEra());
+		this.era.eraReceived(status.storeEra());
 		if (status.storeEra() == this.era.current()) {
 			this.configurationSynchronizer.heardOfReturn(status.storeReturnAgeMs());
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -102,7 +102,7 @@
 	 * itself: a message that names an era which never was would make all of them late.
 	 * @param era the era that it has from the store
 	 */
-	void heard(long era) {
+	void eraReceived(long era) {
 		// Without an answer of the store this router has nothing that could be outlived.
 		if (this.known && era > this.told) {
 			tell(era, "router");
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -30,8 +30,8 @@
 		answer(this.era.free(), 1);
 		answer(this.era.free(), 2);
 		answer(this.era.free(), 2);
-		this.era.heard(2);
-		this.era.heard(4);
+		this.era.eraReceived(2);
+		this.era.eraReceived(4);
 		answer(this.era.free(), 4);
 
 		assertThat(this.era.current()).isEqualTo(4);
@@ -43,7 +43,7 @@
 	@Test
 	void answersAreJudgedByWhatTheStoreSaysItself() {
 		answer(this.era.free(), 1);
-		this.era.heard(Long.MAX_VALUE);
+		this.era.eraReceived(Long.MAX_VALUE);
 
 		assertThat(answer(this.era.free(), 1)).isEqualTo(found());
 		assertThat(this.era.current()).isEqualTo(1);
@@ -86,7 +86,7 @@
 	// Whoever reaches the routers' port could name an era before the store has said one.
 	@Test
 	void otherRoutersAreHeardOnlyOnceTheStoreHasSaidAnEra() {
-		this.era.heard(9);
+		this.era.eraReceived(9);
 
 		assertThat(this.era.current()).isZero();
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -316,7 +316,7 @@
 			long version = other.version();
 			long ageMs = other.proof.ageMs(nowMs);
 			long provedAtMs = (ageMs < PROOF_MS) ? nowMs - ageMs : Long.MIN_VALUE;
-			this.era.heard(other.era.current());
+			this.era.eraReceived(other.era.current());
 			if (other.era.current() == this.era.current()) {
 				this.configuration.heardOfReturn(other.configuration.returnAgeMs());
 			}
