--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -77,7 +77,7 @@
 	 * @param <T> what was asked for
 	 * @return what may be used of it
 	 */
-	public <T> StoreReply<T> judge(Question question, long saidEra, StoreReply<T> reply) {
+	public <T> StoreReply<T> validate(Question question, long saidEra, StoreReply<T> reply) {
 		if (saidEra == UNSPECIFIED && this.known) {
 			logger.atWarning()
 				.atMostEvery(PASSED_OVER_LOG_S, TimeUnit.SECONDS)
--- a/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -216,7 +216,7 @@
 			if (!rarely(20)) {
 				later(delayMs(), () -> {
 					if (this.reach.now()) {
-						done.accept(this.heard.judge(question, saidEra, reply));
+						done.accept(this.heard.validate(question, saidEra, reply));
 					}
 				});
 			}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -92,7 +92,7 @@
 	}
 
 	private StoreReply<String> answer(StoreEra.Question question, long saidEra) {
-		return this.era.judge(question, saidEra, found());
+		return this.era.validate(question, saidEra, found());
 	}
 
 	private static StoreReply<String> found() {
