--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -77,7 +77,7 @@
 	 * @param <T> what was asked for
 	 * @return what may be used of it
 	 */
-	public <T> StoreReply<T> validate(Question question, long saidEra, StoreReply<T> reply) {
+	public <T> StoreReply<T> validate(Query question, long saidEra, StoreReply<T> reply) {
 		if (saidEra == UNSPECIFIED && this.known) {
 			logger.atWarning()
 				.atMostEvery(PASSED_OVER_LOG_S, TimeUnit.SECONDS)
@@ -135,8 +135,8 @@
 	 * Begins a question that makes sense under any era: a read of the newest state.
 	 * @return the question
 	 */
-	public Question free() {
-		return new Question(this.current, false);
+	public Query free() {
+		return new Query(this.current, false);
 	}
 
 	/**
@@ -144,8 +144,8 @@
 	 * @param era the era of that revision
 	 * @return the question
 	 */
-	public Question tied(long era) {
-		return new Question(era, true);
+	public Query tied(long era) {
+		return new Query(era, true);
 	}
 
 	/**
@@ -154,7 +154,7 @@
 	 * @param era the era under which it was asked
 	 * @param tied whether its answer makes sense in that era only
 	 */
-	public record Question(long era, boolean tied) {
+	public record Query(long era, boolean tied) {
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -191,7 +191,7 @@
 			return this.heard;
 		}
 
-		private <T> void call(StoreEra.Question question, long limitMs, Consumer<Answer<T>> work,
+		private <T> void call(StoreEra.Query question, long limitMs, Consumer<Answer<T>> work,
 				Consumer<StoreReply<T>> done) {
 			boolean[] ended = new boolean[1];
 			Consumer<StoreReply<T>> once = (reply) -> {
@@ -211,7 +211,7 @@
 			});
 		}
 
-		private <T> void answer(StoreEra.Question question, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
+		private <T> void answer(StoreEra.Query question, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
 			long saidEra = SimulatedStore.this.era;
 			if (!rarely(20)) {
 				later(delayMs(), () -> {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -61,7 +61,7 @@
 	// An answer that was held up on its way tells of what the store has lost since.
 	@Test
 	void anAnswerOfAnEarlierEraIsPassedOver() {
-		StoreEra.Question question = this.era.free();
+		StoreEra.Query question = this.era.free();
 		answer(question, 1);
 		answer(question, 2);
 
@@ -75,9 +75,9 @@
 		assertThat(answer(this.era.free(), StoreEra.UNSPECIFIED)).isEqualTo(found());
 		assertThat(this.era.known()).isFalse();
 
-		StoreEra.Question before = this.era.free();
+		StoreEra.Query before = this.era.free();
 		answer(this.era.free(), 3);
-		StoreEra.Question now = this.era.free();
+		StoreEra.Query now = this.era.free();
 		assertThat(answer(now, StoreEra.UNSPECIFIED)).isEqualTo(found());
 		assertThat(answer(before, StoreEra.UNSPECIFIED)).isInstanceOf(StoreReply.Unavailable.class);
 		assertThat(this.era.current()).isEqualTo(3);
@@ -91,7 +91,7 @@
 		assertThat(this.era.current()).isZero();
 	}
 
-	private StoreReply<String> answer(StoreEra.Question question, long saidEra) {
+	private StoreReply<String> answer(StoreEra.Query question, long saidEra) {
 		return this.era.validate(question, saidEra, found());
 	}
 
