--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -135,7 +135,7 @@
 	 * Begins a question that makes sense under any era: a read of the newest state.
 	 * @return the question
 	 */
-	public Query free() {
+	public Query unboundQuery() {
 		return new Query(this.current, false);
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
@@ -71,7 +71,7 @@
 	}
 
 	private void knowEra() {
-		this.era.validate(this.era.free(), 3, new StoreReply.Found<>(""));
+		this.era.validate(this.era.unboundQuery(), 3, new StoreReply.Found<>(""));
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -228,7 +228,7 @@
 
 		@Override
 		public void readConfiguration(Consumer<StoreReply<ConfigurationDocument>> done) {
-			this.<ConfigurationDocument>call(this.heard.free(), CALL_MS, (answer) -> answer
+			this.<ConfigurationDocument>call(this.heard.unboundQuery(), CALL_MS, (answer) -> answer
 				.give(new StoreReply.Found<>(document(SimulatedStore.this.state.configurationVersion))), done);
 		}
 
@@ -239,7 +239,7 @@
 
 		@Override
 		public void listUpstreams(Consumer<StoreReply<UpstreamListing>> done) {
-			this.<UpstreamListing>call(this.heard.free(), CALL_MS, (answer) -> {
+			this.<UpstreamListing>call(this.heard.unboundQuery(), CALL_MS, (answer) -> {
 				State now = SimulatedStore.this.state;
 				answer.give(new StoreReply.Found<>(new UpstreamListing(List.copyOf(now.upstreams.values()),
 						new StoreVersion(SimulatedStore.this.era, now.revision))));
@@ -282,7 +282,7 @@
 
 		@Override
 		public void readLease(Consumer<StoreReply<LeaseObject>> done) {
-			this.<LeaseObject>call(this.heard.free(), LEASE_CALL_MS, (answer) -> {
+			this.<LeaseObject>call(this.heard.unboundQuery(), LEASE_CALL_MS, (answer) -> {
 				Lease lease = SimulatedStore.this.state.lease;
 				answer.give((lease != null) ? new StoreReply.Found<>(object(lease)) : new StoreReply.Absent<>());
 			}, done);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -19,7 +19,7 @@
 
 	@Test
 	void theFirstEraThatIsHeardIsNoReturn() {
-		assertThat(answer(this.era.free(), 7)).isEqualTo(found());
+		assertThat(answer(this.era.unboundQuery(), 7)).isEqualTo(found());
 
 		assertThat(this.era.current()).isEqualTo(7);
 		assertThat(this.returns).isZero();
@@ -27,12 +27,12 @@
 
 	@Test
 	void eachLaterEraIsToldOnce() {
-		answer(this.era.free(), 1);
-		answer(this.era.free(), 2);
-		answer(this.era.free(), 2);
+		answer(this.era.unboundQuery(), 1);
+		answer(this.era.unboundQuery(), 2);
+		answer(this.era.unboundQuery(), 2);
 		this.era.eraReceived(2);
 		this.era.eraReceived(4);
-		answer(this.era.free(), 4);
+		answer(this.era.unboundQuery(), 4);
 
 		assertThat(this.era.current()).isEqualTo(4);
 		assertThat(this.returns).isEqualTo(2);
@@ -42,10 +42,10 @@
 	// one of an earlier era from then on.
 	@Test
 	void answersAreJudgedByWhatTheStoreSaysItself() {
-		answer(this.era.free(), 1);
+		answer(this.era.unboundQuery(), 1);
 		this.era.eraReceived(Long.MAX_VALUE);
 
-		assertThat(answer(this.era.free(), 1)).isEqualTo(found());
+		assertThat(answer(this.era.unboundQuery(), 1)).isEqualTo(found());
 		assertThat(this.era.current()).isEqualTo(1);
 	}
 
@@ -53,7 +53,7 @@
 	// as if nothing had happened.
 	@Test
 	void anAnswerToAQuestionThatNamesARevisionOfAnEarlierEraIsOutdated() {
-		answer(this.era.free(), 1);
+		answer(this.era.unboundQuery(), 1);
 
 		assertThat(answer(this.era.tied(1), 2)).isEqualTo(new StoreReply.Outdated<>());
 	}
@@ -61,7 +61,7 @@
 	// An answer that was held up on its way tells of what the store has lost since.
 	@Test
 	void anAnswerOfAnEarlierEraIsPassedOver() {
-		StoreEra.Query question = this.era.free();
+		StoreEra.Query question = this.era.unboundQuery();
 		answer(question, 1);
 		answer(question, 2);
 
@@ -72,12 +72,12 @@
 
 	@Test
 	void anAnswerThatSaysNoEraChangesNothing() {
-		assertThat(answer(this.era.free(), StoreEra.UNSPECIFIED)).isEqualTo(found());
+		assertThat(answer(this.era.unboundQuery(), StoreEra.UNSPECIFIED)).isEqualTo(found());
 		assertThat(this.era.known()).isFalse();
 
-		StoreEra.Query before = this.era.free();
-		answer(this.era.free(), 3);
-		StoreEra.Query now = this.era.free();
+		StoreEra.Query before = this.era.unboundQuery();
+		answer(this.era.unboundQuery(), 3);
+		StoreEra.Query now = this.era.unboundQuery();
 		assertThat(answer(now, StoreEra.UNSPECIFIED)).isEqualTo(found());
 		assertThat(answer(before, StoreEra.UNSPECIFIED)).isInstanceOf(StoreReply.Unavailable.class);
 		assertThat(this.era.current()).isEqualTo(3);
