--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -93,7 +93,7 @@
 		if (saidEra != UNSPECIFIED) {
 			advance(saidEra);
 		}
-		boolean outlived = question.tied() && answerEra != question.era();
+		boolean outlived = question.bound() && answerEra != question.era();
 		return (outlived && reply instanceof StoreReply.Found<T>) ? new StoreReply.Outdated<>() : reply;
 	}
 
@@ -144,7 +144,7 @@
 	 * @param era the era of that revision
 	 * @return the question
 	 */
-	public Query tied(long era) {
+	public Query boundQuery(long era) {
 		return new Query(era, true);
 	}
 
@@ -152,9 +152,9 @@
 	 * What matters of a question. Immutable.
 	 *
 	 * @param era the era under which it was asked
-	 * @param tied whether its answer makes sense in that era only
+	 * @param bound whether its answer makes sense in that era only
 	 */
-	public record Query(long era, boolean tied) {
+	public record Query(long era, boolean bound) {
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -248,7 +248,7 @@
 
 		@Override
 		public void watchUpstreams(StoreVersion after, long waitMs, Consumer<StoreReply<UpstreamChanges>> done) {
-			this.<UpstreamChanges>call(this.heard.tied(after.era()), waitMs + CALL_MS, (answer) -> {
+			this.<UpstreamChanges>call(this.heard.boundQuery(after.era()), waitMs + CALL_MS, (answer) -> {
 				if (after.revision() > SimulatedStore.this.state.revision) {
 					answer.give(new StoreReply.Outdated<>());
 					return;
@@ -290,7 +290,7 @@
 
 		@Override
 		public void writeLease(LeaseObject lease, Consumer<StoreReply<LeaseObject>> done) {
-			this.<LeaseObject>call(this.heard.tied(lease.version().era()), LEASE_CALL_MS, (answer) -> {
+			this.<LeaseObject>call(this.heard.boundQuery(lease.version().era()), LEASE_CALL_MS, (answer) -> {
 				State now = SimulatedStore.this.state;
 				long standing = (now.lease != null) ? now.lease.revision : 0;
 				if (standing != lease.version().revision()) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -55,7 +55,7 @@
 	void anAnswerToAQuestionThatNamesARevisionOfAnEarlierEraIsOutdated() {
 		answer(this.era.unboundQuery(), 1);
 
-		assertThat(answer(this.era.tied(1), 2)).isEqualTo(new StoreReply.Outdated<>());
+		assertThat(answer(this.era.boundQuery(1), 2)).isEqualTo(new StoreReply.Outdated<>());
 	}
 
 	// An answer that was held up on its way tells of what the store has lost since.
