--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -65,7 +65,7 @@
 	 * @param saidEra what it says, or {@link #UNSPECIFIED}
 	 * @return the era
 	 */
-	public long of(long saidEra) {
+	public long effectiveEra(long saidEra) {
 		return (saidEra == UNSPECIFIED) ? this.current : saidEra;
 	}
 
