--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
@@ -60,7 +60,7 @@
 	 * @param address where that router takes messages
 	 * @param nowMs the time
 	 */
-	void heard(long version, String address, long nowMs) {
+	void peerVersionReceived(long version, String address, long nowMs) {
 		if (version >= latest(nowMs)) {
 			this.latestHeard = version;
 			this.latestHeardAtMs = nowMs;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -146,10 +146,10 @@
 	 * @param provedAtMs when it was proved to be the newest, on the clock of proofs
 	 * @param peerAddress where that router takes messages
 	 */
-	void heard(long version, long provedAtMs, String peerAddress) {
+	void peerVersionReceived(long version, long provedAtMs, String peerAddress) {
 		long own = version();
 		boolean before = confirmed();
-		this.trust.heard(version, peerAddress, this.boot.nowMs());
+		this.trust.peerVersionReceived(version, peerAddress, this.boot.nowMs());
 		noteConfirmed(before);
 		if (version == own && version >= 0) {
 			proved(provedAtMs);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
@@ -28,11 +28,11 @@
 	void oneOfSeveralOthersIsNotEnough() {
 		knowEra();
 		this.trust.consulting(2);
-		this.trust.heard(4, "10.0.0.1:1", NOW_MS);
-		this.trust.heard(4, "10.0.0.1:1", NOW_MS);
+		this.trust.peerVersionReceived(4, "10.0.0.1:1", NOW_MS);
+		this.trust.peerVersionReceived(4, "10.0.0.1:1", NOW_MS);
 		assertThat(this.trust.proves(4, NOW_MS, NOW_MS)).isFalse();
 
-		this.trust.heard(5, "10.0.0.2:1", NOW_MS);
+		this.trust.peerVersionReceived(5, "10.0.0.2:1", NOW_MS);
 		assertThat(this.trust.confirmed()).isTrue();
 		assertThat(this.trust.proves(4, NOW_MS, NOW_MS)).isFalse();
 		assertThat(this.trust.proves(5, NOW_MS, NOW_MS)).isTrue();
@@ -49,7 +49,7 @@
 	// A message names a version that never was: keys would not be honoured any more.
 	@Test
 	void aLaterVersionThatNobodyNamesAnyMoreIsForgotten() {
-		this.trust.heard(Long.MAX_VALUE, "10.0.0.1:1", NOW_MS);
+		this.trust.peerVersionReceived(Long.MAX_VALUE, "10.0.0.1:1", NOW_MS);
 		assertThat(this.trust.proves(4, NOW_MS, NOW_MS)).isFalse();
 
 		long laterMs = NOW_MS + PROOF_GOOD_MS;
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -323,7 +323,7 @@
 			this.peers.heard(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
 					List.of(), false, Map.of(), other.leadership.holds(), other.peers.leaderAgeMs(nowMs),
 					other.list.state(), other.era.current(), other.configuration.returnAgeMs()), nowMs);
-			this.configuration.heard(version, provedAtMs, other.address);
+			this.configuration.peerVersionReceived(version, provedAtMs, other.address);
 			UpstreamListState state = other.list.state();
 			this.list.heard(other.address, state, (state.ageMs() < 0) ? Long.MIN_VALUE : nowMs - state.ageMs());
 		}
