--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -178,14 +178,14 @@
 
 	/** The store has come back from an older copy. */
 	void storeReturned() {
-		heardOfReturn(0);
+		peerRestoreReceived(0);
 	}
 
 	/**
 	 * Hears from another router of the same era that the store has come back.
 	 * @param ageMs how long ago it heard so, in milliseconds; -1 where it didn't
 	 */
-	void heardOfReturn(long ageMs) {
+	void peerRestoreReceived(long ageMs) {
 		this.trust.storeReturned(ageMs, this.boot.nowMs());
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -68,7 +68,7 @@
 		PeerTable peers = this.router.peers();
 		this.era.eraReceived(status.storeEra());
 		if (status.storeEra() == this.era.current()) {
-			this.configurationSynchronizer.heardOfReturn(status.storeReturnAgeMs());
+			this.configurationSynchronizer.peerRestoreReceived(status.storeReturnAgeMs());
 		}
 		peers.heard(status, this.router.nowMs());
 		status.suspects().forEach(this.router.watch()::hearsay);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -318,7 +318,7 @@
 			long provedAtMs = (ageMs < PROOF_MS) ? nowMs - ageMs : Long.MIN_VALUE;
 			this.era.eraReceived(other.era.current());
 			if (other.era.current() == this.era.current()) {
-				this.configuration.heardOfReturn(other.configuration.returnAgeMs());
+				this.configuration.peerRestoreReceived(other.configuration.returnAgeMs());
 			}
 			this.peers.heard(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
 					List.of(), false, Map.of(), other.leadership.holds(), other.peers.leaderAgeMs(nowMs),
