--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
@@ -130,7 +130,7 @@
 	 * @param nowMs the time
 	 * @return milliseconds; -1 where it did not, as far as is known, or long ago
 	 */
-	long returnAgeMs(long nowMs) {
+	long restoreAgeMs(long nowMs) {
 		long ageMs = nowMs - this.returnedAtMs;
 		return (ageMs < writtenAgainMs()) ? ageMs : -1;
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -193,8 +193,8 @@
 	 * How long ago the store came back.
 	 * @return milliseconds; -1 where it did not, as far as is known, or long ago
 	 */
-	long returnAgeMs() {
-		return this.trust.returnAgeMs(this.boot.nowMs());
+	long restoreAgeMs() {
+		return this.trust.restoreAgeMs(this.boot.nowMs());
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -60,7 +60,7 @@
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
 				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
-				this.directorySynchronizer.state(), this.era.current(), this.configurationSynchronizer.returnAgeMs());
+				this.directorySynchronizer.state(), this.era.current(), this.configurationSynchronizer.restoreAgeMs());
 	}
 
 	@Override
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
@@ -63,11 +63,11 @@
 		this.trust.storeReturned(0, NOW_MS);
 
 		assertThat(this.trust.proves(4, NOW_MS + 1, NOW_MS + 1)).isFalse();
-		assertThat(this.trust.returnAgeMs(NOW_MS + 1)).isEqualTo(1);
+		assertThat(this.trust.restoreAgeMs(NOW_MS + 1)).isEqualTo(1);
 
 		long laterMs = NOW_MS + PROOF_GOOD_MS / 2;
 		assertThat(this.trust.proves(4, laterMs, laterMs)).isTrue();
-		assertThat(this.trust.returnAgeMs(laterMs)).isEqualTo(-1);
+		assertThat(this.trust.restoreAgeMs(laterMs)).isEqualTo(-1);
 	}
 
 	private void knowEra() {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -318,11 +318,11 @@
 			long provedAtMs = (ageMs < PROOF_MS) ? nowMs - ageMs : Long.MIN_VALUE;
 			this.era.eraReceived(other.era.current());
 			if (other.era.current() == this.era.current()) {
-				this.configuration.peerRestoreReceived(other.configuration.returnAgeMs());
+				this.configuration.peerRestoreReceived(other.configuration.restoreAgeMs());
 			}
 			this.peers.heard(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
 					List.of(), false, Map.of(), other.leadership.holds(), other.peers.leaderAgeMs(nowMs),
-					other.list.state(), other.era.current(), other.configuration.returnAgeMs()), nowMs);
+					other.list.state(), other.era.current(), other.configuration.restoreAgeMs()), nowMs);
 			this.configuration.peerVersionReceived(version, provedAtMs, other.address);
 			UpstreamListState state = other.list.state();
 			this.list.heard(other.address, state, (state.ageMs() < 0) ? Long.MIN_VALUE : nowMs - state.ageMs());
