--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
@@ -91,7 +91,7 @@
 	 * Other routers have been asked for what they know.
 	 * @param routers how many
 	 */
-	void consulting(int routers) {
+	void peersQueried(int routers) {
 		this.toConsult = Math.min(routers, MOST_CONSULTED);
 		confirmWhereEnough();
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -201,9 +201,9 @@
 	 * Other routers have been asked for what they know.
 	 * @param routers how many; their answers may be lost
 	 */
-	void consulting(int routers) {
+	void peersQueried(int routers) {
 		boolean before = confirmed();
-		this.trust.consulting(routers);
+		this.trust.peersQueried(routers);
 		noteConfirmed(before);
 		this.loop.schedule(this::waitedEnough, CONSULT_MS, TimeUnit.MILLISECONDS);
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
@@ -27,7 +27,7 @@
 	@Test
 	void oneOfSeveralOthersIsNotEnough() {
 		knowEra();
-		this.trust.consulting(2);
+		this.trust.peersQueried(2);
 		this.trust.peerVersionReceived(4, "10.0.0.1:1", NOW_MS);
 		this.trust.peerVersionReceived(4, "10.0.0.1:1", NOW_MS);
 		assertThat(this.trust.proves(4, NOW_MS, NOW_MS)).isFalse();
@@ -41,7 +41,7 @@
 	@Test
 	void aRouterThatIsAloneWaitsForNobody() {
 		knowEra();
-		this.trust.consulting(0);
+		this.trust.peersQueried(0);
 
 		assertThat(this.trust.proves(4, NOW_MS, NOW_MS)).isTrue();
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -272,7 +272,7 @@
 			this.configuration.start();
 			this.list.start();
 			this.leadership.start();
-			this.configuration.consulting(ROUTERS - 1);
+			this.configuration.peersQueried(ROUTERS - 1);
 		}
 
 		private boolean waits() {
