--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
@@ -119,7 +119,7 @@
 	 * era, in milliseconds; -1 where it wasn't
 	 * @param nowMs the time
 	 */
-	void storeReturned(long ageMs, long nowMs) {
+	void storeRestored(long ageMs, long nowMs) {
 		if (ageMs >= 0) {
 			this.returnedAtMs = Math.max(this.returnedAtMs, nowMs - ageMs);
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -177,7 +177,7 @@
 	}
 
 	/** The store has come back from an older copy. */
-	void storeReturned() {
+	void storeRestored() {
 		peerRestoreReceived(0);
 	}
 
@@ -186,7 +186,7 @@
 	 * @param ageMs how long ago it heard so, in milliseconds; -1 where it didn't
 	 */
 	void peerRestoreReceived(long ageMs) {
-		this.trust.storeReturned(ageMs, this.boot.nowMs());
+		this.trust.storeRestored(ageMs, this.boot.nowMs());
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -185,7 +185,7 @@
 	}
 
 	/** The store has come back from an older copy. */
-	void storeReturned() {
+	void storeRestored() {
 		if (this.listed) {
 			this.reader.relist();
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -256,8 +256,8 @@
 	// itself is written again, at a time of its own.
 	private void storeReturned() {
 		this.leadership.storeReturned();
-		this.configurationSynchronizer.storeReturned();
-		this.directorySynchronizer.storeReturned();
+		this.configurationSynchronizer.storeRestored();
+		this.directorySynchronizer.storeRestored();
 		this.crashGuard.records().storeReturned();
 		long spreadMs = ANNOUNCE_SPREAD_MS_PER_ROUTER * this.peers.sharers(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(spreadMs), TimeUnit.MILLISECONDS);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
@@ -60,7 +60,7 @@
 	// it: what the copy says seems to be the newest until operators have written again.
 	@Test
 	void rightAfterAReturnNothingIsProvedAndWhatWasProvedBeforeLasts() {
-		this.trust.storeReturned(0, NOW_MS);
+		this.trust.storeRestored(0, NOW_MS);
 
 		assertThat(this.trust.proves(4, NOW_MS + 1, NOW_MS + 1)).isFalse();
 		assertThat(this.trust.restoreAgeMs(NOW_MS + 1)).isEqualTo(1);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -163,7 +163,7 @@
 	// return, and this router hasn't read since.
 	@Test
 	void whoeverTheStoreHasLostIsGivenUpOnlyByALaterProof() {
-		this.keeper.storeReturned();
+		this.keeper.storeRestored();
 		pass(DRAIN_MS);
 		StoreVersion returned = new StoreVersion(1, 5);
 		this.lists.getLast().accept(new StoreReply.Found<>(new UpstreamListing(List.of(upstream("b", 1)), returned)));
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -266,8 +266,8 @@
 					StoreRollbackModelTests.this.random);
 			this.era.onRestore(() -> {
 				this.leadership.storeReturned();
-				this.configuration.storeReturned();
-				this.list.storeReturned();
+				this.configuration.storeRestored();
+				this.list.storeRestored();
 			});
 			this.configuration.start();
 			this.list.start();
