--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -68,7 +68,7 @@
 
 	private final long inForceMs;
 
-	private final BooleanSupplier runsAhead;
+	private final BooleanSupplier readsEarly;
 
 	private final ConfigurationProof proof;
 
@@ -106,15 +106,15 @@
 	 * @param boot the clock of proofs
 	 * @param inForceMs within which time an accepted configuration must be in force, in
 	 * milliseconds
-	 * @param runsAhead whether this router is one of the few that read before the others
+	 * @param readsEarly whether this router is one of the few that read before the others
 	 * @param changed is run after each change, and once the first one is confirmed
 	 * @param era the era of the store
 	 * @param random the source of chance
 	 */
 	ConfigurationSynchronizer(EventLoop loop, FleetStore store, ConfigurationProof proof, BootClock boot, long inForceMs,
-			BooleanSupplier runsAhead, Runnable changed, StoreEra era, RandomGenerator random) {
+			BooleanSupplier readsEarly, Runnable changed, StoreEra era, RandomGenerator random) {
 		this.inForceMs = inForceMs;
-		this.runsAhead = runsAhead;
+		this.readsEarly = readsEarly;
 		this.changed = changed;
 		this.trust = new ConfigurationFreshness(era, proof.keysBoundMs());
 		this.random = random;
@@ -274,11 +274,11 @@
 	}
 
 	private long periodMs() {
-		return (long) ((this.runsAhead.getAsBoolean() ? FORERUNNER_PART : PERIOD_PART) * this.inForceMs);
+		return (long) ((this.readsEarly.getAsBoolean() ? FORERUNNER_PART : PERIOD_PART) * this.inForceMs);
 	}
 
 	private long spreadMs() {
-		double part = this.runsAhead.getAsBoolean() ? FORERUNNER_SPREAD_PART : SPREAD_PART;
+		double part = this.readsEarly.getAsBoolean() ? FORERUNNER_SPREAD_PART : SPREAD_PART;
 		return this.random.nextLong(Math.max(1, (long) (part * this.inForceMs)));
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -106,8 +106,8 @@
 	 * Whether this router is one of the few that ask the store sooner than the others.
 	 * @return {@code false} also where there are no others
 	 */
-	boolean runsAhead() {
-		return this.reader.runsAhead();
+	boolean readsEarly() {
+		return this.reader.readsEarly();
 	}
 
 	private long ageMs() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -163,7 +163,7 @@
 		this.store = ports.store();
 		this.engines = ports.engines();
 		this.configurationSynchronizer = new ConfigurationSynchronizer(this.loop, ports.store(), this.proof, boot,
-				settings.bounds().configurationMs(), () -> directorySynchronizer().runsAhead(), this::listenWhenKnown,
+				settings.bounds().configurationMs(), () -> directorySynchronizer().readsEarly(), this::listenWhenKnown,
 				ports.store().era(), this.random);
 		this.leadership = new Leadership(this.loop, ports.store(), settings.name(), this.ticker,
 				() -> peers().hasLeader(nowMs()));
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -99,7 +99,7 @@
 	 * Whether this router is one of the few that ask the store sooner than the others.
 	 * @return {@code false} also where there are no others
 	 */
-	boolean runsAhead() {
+	boolean readsEarly() {
 		return waits() && ListWatchRota.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
 	}
 
@@ -151,7 +151,7 @@
 		if (this.leads.getAsBoolean() && !waits()) {
 			waitForChanges();
 		}
-		long pauseMs = this.rota.pauseMs(this.reader.ageMs(), runsAhead());
+		long pauseMs = this.rota.pauseMs(this.reader.ageMs(), readsEarly());
 		if (pauseMs > 0) {
 			in(pauseMs, this::step);
 		}
