--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -224,7 +224,7 @@
 	 * @param theirProvedAtMs when its version was the newest for certain, on the clock of
 	 * proofs
 	 */
-	void heard(String address, UpstreamListState theirs, long theirProvedAtMs) {
+	void peerStateReceived(String address, UpstreamListState theirs, long theirProvedAtMs) {
 		if (!this.listed || theirs.version().era() != this.version.era()) {
 			return;
 		}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -182,7 +182,7 @@
 	}
 
 	private void hear(UpstreamListState state) {
-		this.keeper.heard("10.0.0.2:1", state, this.nowMs);
+		this.keeper.peerStateReceived("10.0.0.2:1", state, this.nowMs);
 	}
 
 	private static Upstream upstream(String id, int slots) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -325,7 +325,7 @@
 					other.list.state(), other.era.current(), other.configuration.restoreAgeMs()), nowMs);
 			this.configuration.peerVersionReceived(version, provedAtMs, other.address);
 			UpstreamListState state = other.list.state();
-			this.list.heard(other.address, state, (state.ageMs() < 0) ? Long.MIN_VALUE : nowMs - state.ageMs());
+			this.list.peerStateReceived(other.address, state, (state.ageMs() < 0) ? Long.MIN_VALUE : nowMs - state.ageMs());
 		}
 
 		private long version() {
