--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -256,7 +256,7 @@
 	 * reach back to this router's list change nothing. Where the other one doesn't know
 	 * them, the next one that is heard is asked, or in the end the store
 	 */
-	void told(UpstreamChanges changes) {
+	void peerChangesReceived(UpstreamChanges changes) {
 		boolean asked = this.listed && changes.after().equals(this.askedAfter);
 		if (asked && changes.extend(this.version)) {
 			apply(changes, FROM_ROUTER);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -83,7 +83,7 @@
 
 	@Override
 	public void told(UpstreamChanges changes) {
-		this.directorySynchronizer.told(changes);
+		this.directorySynchronizer.peerChangesReceived(changes);
 	}
 
 	@Override
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -74,7 +74,7 @@
 
 		assertThat(this.asked).containsExactly(Versions.v(10));
 
-		this.keeper.told(new UpstreamChanges(Versions.v(10), List.of(upstream("c", 1)), List.of("a"), Versions.v(12)));
+		this.keeper.peerChangesReceived(new UpstreamChanges(Versions.v(10), List.of(upstream("c", 1)), List.of("a"), Versions.v(12)));
 		assertThat(this.directory.find("a")).isNull();
 		assertThat(this.directory.find("c")).isNotNull();
 		assertThat(this.keeper.state().version()).isEqualTo(Versions.v(12));
@@ -88,19 +88,19 @@
 	void changesThatAreUnaskedLateDoubledOrCutShortChangeNothing() {
 		UpstreamChanges changes = new UpstreamChanges(Versions.v(10), List.of(), List.of("a"), Versions.v(12));
 
-		this.keeper.told(changes);
+		this.keeper.peerChangesReceived(changes);
 		assertThat(this.directory.size()).isEqualTo(2);
 
 		hear(new UpstreamListState(Versions.v(14), 12, 0, true));
-		this.keeper.told(new UpstreamChanges(Versions.v(11), List.of(), List.of("a"), Versions.v(14)));
+		this.keeper.peerChangesReceived(new UpstreamChanges(Versions.v(11), List.of(), List.of("a"), Versions.v(14)));
 		assertThat(this.directory.size()).isEqualTo(2);
 
-		this.keeper.told(changes);
+		this.keeper.peerChangesReceived(changes);
 		assertThat(this.directory.size()).isEqualTo(1);
 
 		this.nowMs += 1000;
 		hear(new UpstreamListState(Versions.v(16), 16, 0, true));
-		this.keeper.told(new UpstreamChanges(Versions.v(10), List.of(upstream("a", 1)), List.of(), Versions.v(12)));
+		this.keeper.peerChangesReceived(new UpstreamChanges(Versions.v(10), List.of(upstream("a", 1)), List.of(), Versions.v(12)));
 		assertThat(this.directory.size()).isEqualTo(1);
 		assertThat(this.keeper.state().version()).isEqualTo(Versions.v(12));
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -362,7 +362,7 @@
 			public void askForChanges(String otherAddress, StoreVersion after) {
 				StoreRollbackModelTests.this.members.stream()
 					.filter((other) -> other.address.equals(otherAddress))
-					.forEach((other) -> Member.this.list.told(other.list.changesAfter(after)));
+					.forEach((other) -> Member.this.list.peerChangesReceived(other.list.changesAfter(after)));
 			}
 
 		}
