--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -294,7 +294,7 @@
 			if (changes.extend(DirectorySynchronizer.this.version)) {
 				apply(changes, FROM_STORE);
 				if (changes.size() > 0) {
-					DirectorySynchronizer.this.listener.tellOthers();
+					DirectorySynchronizer.this.listener.notifyPeers();
 				}
 			}
 		}
@@ -308,7 +308,7 @@
 		void changed();
 
 		/** Other routers should hear of the newest version at once. */
-		void tellOthers();
+		void notifyPeers();
 
 		/**
 		 * Another router has a later version.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -497,7 +497,7 @@
 		}
 
 		@Override
-		public void tellOthers() {
+		public void notifyPeers() {
 			Router.this.peerLink.tellNow();
 		}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -49,7 +49,7 @@
 		}
 
 		@Override
-		public void tellOthers() {
+		public void notifyPeers() {
 			DirectorySynchronizerTests.this.told++;
 		}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -355,7 +355,7 @@
 			}
 
 			@Override
-			public void tellOthers() {
+			public void notifyPeers() {
 			}
 
 			@Override
