--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -237,7 +237,7 @@
 		else if (this.router.nowMs() - this.askedAtMs >= ASK_PAUSE_MS) {
 			this.askedAtMs = this.router.nowMs();
 			this.askedAfter = this.version;
-			this.listener.askForChanges(address, this.version);
+			this.listener.requestChanges(address, this.version);
 		}
 	}
 
@@ -315,7 +315,7 @@
 		 * @param address where it takes messages
 		 * @param after the version that this router has
 		 */
-		void askForChanges(String address, StoreVersion after);
+		void requestChanges(String address, StoreVersion after);
 
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -502,7 +502,7 @@
 		}
 
 		@Override
-		public void askForChanges(String address, StoreVersion after) {
+		public void requestChanges(String address, StoreVersion after) {
 			Router.this.peerLink.askForChanges(address, after);
 		}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -54,7 +54,7 @@
 		}
 
 		@Override
-		public void askForChanges(String address, StoreVersion after) {
+		public void requestChanges(String address, StoreVersion after) {
 			DirectorySynchronizerTests.this.asked.add(after);
 		}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -359,7 +359,7 @@
 			}
 
 			@Override
-			public void askForChanges(String otherAddress, StoreVersion after) {
+			public void requestChanges(String otherAddress, StoreVersion after) {
 				StoreRollbackModelTests.this.members.stream()
 					.filter((other) -> other.address.equals(otherAddress))
 					.forEach((other) -> Member.this.list.peerChangesReceived(other.list.changesAfter(after)));
