--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -99,7 +99,7 @@
 	 * @return its version and the age of the proof that it is the newest
 	 */
 	UpstreamListState state() {
-		return this.listed ? new UpstreamListState(this.version, this.changedAt, ageMs(), this.reader.waits()) : UpstreamListState.NONE;
+		return this.listed ? new UpstreamListState(this.version, this.changedAt, ageMs(), this.reader.watching()) : UpstreamListState.NONE;
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -100,14 +100,14 @@
 	 * @return {@code false} also where there are no others
 	 */
 	boolean readsEarly() {
-		return waits() && ListWatchRota.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
+		return watching() && ListWatchRota.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
 	}
 
 	/**
 	 * Whether this router waits at the store for changes.
 	 * @return {@code true} also between a change and the next wait
 	 */
-	boolean waits() {
+	boolean watching() {
 		return this.waiting || this.gathering;
 	}
 
@@ -148,7 +148,7 @@
 		if (this.asking || this.relisting) {
 			return;
 		}
-		if (this.leads.getAsBoolean() && !waits()) {
+		if (this.leads.getAsBoolean() && !watching()) {
 			waitForChanges();
 		}
 		long pauseMs = this.rota.pauseMs(this.reader.ageMs(), readsEarly());
@@ -196,7 +196,7 @@
 	}
 
 	private void waitWhereFewDo() {
-		if (waits() || this.relisting) {
+		if (watching() || this.relisting) {
 			return;
 		}
 		double others = this.router.peers().listWatchers(this.router.nowMs());
