--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -271,7 +271,7 @@
 	}
 
 	/** What is read from the store. */
-	private final class Read implements UpstreamListReader.Reader {
+	private final class Read implements UpstreamListReader.ListHolder {
 
 		@Override
 		public StoreVersion version() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -55,7 +55,7 @@
 
 	private final FleetStore store;
 
-	private final Reader reader;
+	private final ListHolder reader;
 
 	private final BooleanSupplier leads;
 
@@ -84,7 +84,7 @@
 	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
 	 * @param random the source of chance
 	 */
-	UpstreamListReader(RouterContext router, FleetStore store, Reader reader, BooleanSupplier leads, long drainMs,
+	UpstreamListReader(RouterContext router, FleetStore store, ListHolder reader, BooleanSupplier leads, long drainMs,
 			RandomGenerator random) {
 		this.router = router;
 		this.store = store;
@@ -255,7 +255,7 @@
 	}
 
 	/** Whose list it is; called on the event loop. */
-	interface Reader {
+	interface ListHolder {
 
 		/**
 		 * The version from which on changes are wanted.
