--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
@@ -103,7 +103,7 @@
 		}
 		for (RoutedService service : configuration.services()) {
 			if (service.chained()) {
-				this.router.directory().staying(service.name()).forEach((state) -> survey(state.upstream()));
+				this.router.directory().active(service.name()).forEach((state) -> survey(state.upstream()));
 			}
 		}
 	}
@@ -156,7 +156,7 @@
 		ModelProfile profile = service.model();
 		forgetSettled(profile);
 		List<Engine> state = new ArrayList<>();
-		for (UpstreamState upstream : this.router.directory().staying(service.name())) {
+		for (UpstreamState upstream : this.router.directory().active(service.name())) {
 			EngineKind kind = profile.kinds().get(upstream.upstream().kind());
 			if (kind != null && !this.router.watch().lost(upstream.upstream().incarnation())) {
 				state.add(engine(upstream.upstream(), kind));
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -83,7 +83,7 @@
 			.thenComparingInt(UpstreamState::requests)
 			.thenComparing((state) -> !state.upstream().failureDomain().equals(this.failureDomain))
 			.thenComparing((state) -> state.incarnation());
-		return this.directory.staying(wish.service().name())
+		return this.directory.active(wish.service().name())
 			.stream()
 			.filter((state) -> !tried.contains(state.incarnation()) && takesMore(state))
 			.min(order)
@@ -122,7 +122,7 @@
 		// are read one after the other.
 		int routers = 1 + this.peers.heardLately(nowMs);
 		List<PathFinder.Candidate> candidates = new ArrayList<>();
-		for (UpstreamState state : this.directory.staying(wish.service().name())) {
+		for (UpstreamState state : this.directory.active(wish.service().name())) {
 			EngineKind kind = profile.kinds().get(state.upstream().kind());
 			if (state.upstream().held() == null || kind == null || wish.tried().contains(state.incarnation())) {
 				continue;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -259,7 +259,7 @@
 	 * @param service the service
 	 * @return their states
 	 */
-	Collection<UpstreamState> staying(String service) {
+	Collection<UpstreamState> active(String service) {
 		List<UpstreamState> staying = new ArrayList<>();
 		for (UpstreamState state : this.byId.values()) {
 			if (state.upstream().service().equals(service) && !state.upstream().leaving()) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
@@ -34,7 +34,7 @@
 		this.directory
 			.change(new UpstreamChanges(Versions.v(1), List.of(upstream("1", "a:1", true)), List.of(), Versions.v(3)));
 
-		assertThat(this.directory.staying("s")).isEmpty();
+		assertThat(this.directory.active("s")).isEmpty();
 		assertThat(this.left).containsExactly("1");
 	}
 
