--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
@@ -179,7 +179,7 @@
 		}
 		for (Attempt stream : this.streams) {
 			for (Hop hop : stream.target().path()) {
-				if (this.router.directory().ended(hop.engine().id())) {
+				if (this.router.directory().superseded(hop.engine().id())) {
 					return true;
 				}
 			}
@@ -227,7 +227,7 @@
 			.path()
 			.stream()
 			.filter((hop) -> this.suspicions.containsKey(hop.engine().id())
-					|| this.router.directory().ended(hop.engine().id()))
+					|| this.router.directory().superseded(hop.engine().id()))
 			.map((hop) -> hop.engine().address())
 			.findFirst();
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -214,13 +214,13 @@
 	 * @param incarnation the start that is asked about
 	 * @return whether a later start under the same name was heard of
 	 */
-	boolean ended(String incarnation) {
+	boolean superseded(String incarnation) {
 		return this.ended.contains(incarnation);
 	}
 
 	/**
 	 * Whether any upstream has started again under its name.
-	 * @return whether {@link #ended} may hold for any
+	 * @return whether {@link #superseded} may hold for any
 	 */
 	boolean anyEnded() {
 		return !this.ended.isEmpty();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
@@ -63,8 +63,8 @@
 			.change(new UpstreamChanges(Versions.v(1), List.of(engine(2_000, null)), List.of(), Versions.v(2)));
 
 		assertThat(this.directory.find("e@1000")).isNull();
-		assertThat(this.directory.ended("e@1000")).isTrue();
-		assertThat(this.directory.ended("e@2000")).isFalse();
+		assertThat(this.directory.superseded("e@1000")).isTrue();
+		assertThat(this.directory.superseded("e@2000")).isFalse();
 		assertThat(this.left).containsExactly("e");
 		UpstreamState after = this.directory.find("e@2000");
 		assertThat(after.upstream().held()).isNull();
