--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
@@ -174,7 +174,7 @@
 
 	// Starts that have ended are remembered for good, and soon no stream is over one.
 	private boolean anyOverEnded() {
-		if (!this.router.directory().anyEnded()) {
+		if (!this.router.directory().anySuperseded()) {
 			return false;
 		}
 		for (Attempt stream : this.streams) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -222,7 +222,7 @@
 	 * Whether any upstream has started again under its name.
 	 * @return whether {@link #superseded} may hold for any
 	 */
-	boolean anyEnded() {
+	boolean anySuperseded() {
 		return !this.ended.isEmpty();
 	}
 
