--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
@@ -315,7 +315,7 @@
 
 		private void take(Upstream upstream, long askedMs, Optional<EngineReport> report) {
 			boolean open = this.waiting.remove(upstream.incarnation()) != null;
-			if (report.isPresent() && !EngineWatch.this.router.directory().confirm(upstream, report.get())) {
+			if (report.isPresent() && !EngineWatch.this.router.directory().confirmIncarnation(upstream, report.get())) {
 				this.answers++;
 				EngineWatch.this.suspicions.remove(upstream.incarnation());
 				EngineWatch.this.news.run();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
@@ -113,7 +113,7 @@
 			logger.atInfo()
 				.log("event=engine-state engine=%s domain=%s kind=%s listed=%s report=\"%s\"", upstream.incarnation(),
 						upstream.failureDomain(), upstream.kind(), upstream.held(), report.orElse(null));
-			if (report.isPresent() && !this.router.directory().confirm(upstream, report.get())) {
+			if (report.isPresent() && !this.router.directory().confirmIncarnation(upstream, report.get())) {
 				this.paces.remove(upstream.incarnation());
 				return;
 			}
@@ -243,7 +243,7 @@
 		this.engines.report(engine.address(), REPORT_MS, (report) -> {
 			UpstreamState state = this.router.directory().find(engine.id());
 			if (state == null
-					|| (report.isPresent() && !this.router.directory().confirm(state.upstream(), report.get()))) {
+					|| (report.isPresent() && !this.router.directory().confirmIncarnation(state.upstream(), report.get()))) {
 				// It has started again: it counts its orders anew and holds nothing of
 				// what the plan was made for.
 				dropped(engine, "restarted-or-gone");
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -197,7 +197,7 @@
 	 * @param report what was answered
 	 * @return whether the report tells of the start that was asked
 	 */
-	boolean confirm(Upstream asked, EngineReport report) {
+	boolean confirmIncarnation(Upstream asked, EngineReport report) {
 		if (report.bornMs() == asked.bornMs() || report.bornMs() == Upstream.BORN_UNKNOWN
 				|| asked.bornMs() == Upstream.BORN_UNKNOWN) {
 			return true;
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
@@ -92,7 +92,7 @@
 		Upstream asked = engine(1_000, new LayerRange(0, 40));
 		this.directory.replace(List.of(asked));
 
-		boolean same = this.directory.confirm(asked, report(2_000, null));
+		boolean same = this.directory.confirmIncarnation(asked, report(2_000, null));
 		this.directory.replace(List.of(asked));
 
 		assertThat(same).isFalse();
@@ -105,7 +105,7 @@
 		Upstream asked = engine(2_000, new LayerRange(0, 40));
 		this.directory.replace(List.of(asked));
 
-		assertThat(this.directory.confirm(asked, report(1_000, null))).isFalse();
+		assertThat(this.directory.confirmIncarnation(asked, report(1_000, null))).isFalse();
 		assertThat(this.directory.find("e@2000").upstream()).isEqualTo(asked);
 	}
 
@@ -114,7 +114,7 @@
 		Upstream asked = engine(Upstream.BORN_UNKNOWN, new LayerRange(0, 40));
 		this.directory.replace(List.of(asked));
 
-		assertThat(this.directory.confirm(asked, report(1_000, null))).isTrue();
+		assertThat(this.directory.confirmIncarnation(asked, report(1_000, null))).isTrue();
 		assertThat(this.directory.find("e").upstream()).isEqualTo(asked);
 	}
 
