--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -143,7 +143,7 @@
 		UpstreamChanges news = this.returned.first(directory.changesTo(listing, this.version), directory::listed,
 				directory::gone);
 		this.recent.clear();
-		directory.change(news);
+		directory.apply(news);
 		this.version = listing.version();
 		this.changedAt = this.version.revision();
 		logger.atInfo()
@@ -173,7 +173,7 @@
 		else if (!missing.isEmpty()) {
 			logger.atInfo().log("event=upstreams-gone removed=%s version=%s", missing, this.version);
 			this.returned.forgetMissing();
-			this.router.directory().change(new UpstreamChanges(this.version, List.of(), missing, this.version));
+			this.router.directory().apply(new UpstreamChanges(this.version, List.of(), missing, this.version));
 			this.listener.changed();
 		}
 	}
@@ -201,7 +201,7 @@
 			return;
 		}
 		this.recent.add(changes, this.version);
-		this.router.directory().change(changes);
+		this.router.directory().apply(changes);
 		this.returned.written(changes);
 		this.version = changes.version();
 		this.changedAt = this.version.revision();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -126,7 +126,7 @@
 	 * Takes changes.
 	 * @param changes the changes
 	 */
-	void change(UpstreamChanges changes) {
+	void apply(UpstreamChanges changes) {
 		changes.removed().forEach(this::remove);
 		changes.changed().forEach(this::put);
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
@@ -30,9 +30,9 @@
 	void aLeavingUpstreamIsToldOfOnceAndTakesNothingNew() {
 		this.directory.replace(List.of(upstream("1", "a:1", false)));
 		this.directory
-			.change(new UpstreamChanges(Versions.v(1), List.of(upstream("1", "a:1", true)), List.of(), Versions.v(2)));
+			.apply(new UpstreamChanges(Versions.v(1), List.of(upstream("1", "a:1", true)), List.of(), Versions.v(2)));
 		this.directory
-			.change(new UpstreamChanges(Versions.v(1), List.of(upstream("1", "a:1", true)), List.of(), Versions.v(3)));
+			.apply(new UpstreamChanges(Versions.v(1), List.of(upstream("1", "a:1", true)), List.of(), Versions.v(3)));
 
 		assertThat(this.directory.active("s")).isEmpty();
 		assertThat(this.left).containsExactly("1");
@@ -43,7 +43,7 @@
 	@Test
 	void anAddressThatIsUsedAgainLeadsToItsNewOwner() {
 		this.directory.replace(List.of(upstream("1", "a:1", false)));
-		this.directory.change(
+		this.directory.apply(
 				new UpstreamChanges(Versions.v(1), List.of(upstream("2", "a:1", false)), List.of("1"), Versions.v(2)));
 
 		assertThat(this.directory.findByAddress("s", "a:1").upstream().id()).isEqualTo("2");
@@ -60,7 +60,7 @@
 		before.avoidUntil(Long.MAX_VALUE);
 
 		this.directory
-			.change(new UpstreamChanges(Versions.v(1), List.of(engine(2_000, null)), List.of(), Versions.v(2)));
+			.apply(new UpstreamChanges(Versions.v(1), List.of(engine(2_000, null)), List.of(), Versions.v(2)));
 
 		assertThat(this.directory.find("e@1000")).isNull();
 		assertThat(this.directory.superseded("e@1000")).isTrue();
@@ -79,7 +79,7 @@
 	void anEntryOfAnEarlierStartThatComesLaterChangesNothing() {
 		this.directory.replace(List.of(engine(2_000, new LayerRange(40, 80))));
 
-		this.directory.change(new UpstreamChanges(Versions.v(1), List.of(engine(1_000, new LayerRange(0, 40))),
+		this.directory.apply(new UpstreamChanges(Versions.v(1), List.of(engine(1_000, new LayerRange(0, 40))),
 				List.of(), Versions.v(2)));
 
 		assertThat(this.directory.find("e@2000").upstream().held()).isEqualTo(new LayerRange(40, 80));
@@ -147,7 +147,7 @@
 	@Test
 	void anEntryOfAnotherServiceDoesNotTakeAnAddressOver() {
 		this.directory.replace(List.of(upstream("1", "a:1", false)));
-		this.directory.change(new UpstreamChanges(Versions.v(1),
+		this.directory.apply(new UpstreamChanges(Versions.v(1),
 				List.of(new Upstream("x", 5, "nobody-calls", "a:1", "d", 4, null, null, false)), List.of(),
 				Versions.v(2)));
 
