--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -140,7 +140,7 @@
 
 	private void listedAnew(UpstreamListing listing) {
 		UpstreamDirectory directory = this.router.directory();
-		UpstreamChanges news = this.returned.first(directory.changesTo(listing, this.version), directory::listed,
+		UpstreamChanges news = this.returned.first(directory.changesTo(listing, this.version), directory::findByName,
 				directory::gone);
 		this.recent.clear();
 		directory.apply(news);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -108,7 +108,7 @@
 	 * @param id its name
 	 * @return the upstream, or {@code null}
 	 */
-	Upstream listed(String id) {
+	Upstream findByName(String id) {
 		UpstreamState state = this.byId.get(id);
 		return (state != null) ? state.upstream() : null;
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -83,7 +83,7 @@
 			assertThat(member.configuration.configuration().version()).isEqualTo(this.newestConfiguration);
 			assertThat(member.proof.honoursKeys(this.store.nowMs())).isTrue();
 			assertThat(member.directory.size()).isEqualTo(this.newestWords.size());
-			this.newestWords.forEach((id, word) -> assertThat(member.directory.listed(id)).isEqualTo(word));
+			this.newestWords.forEach((id, word) -> assertThat(member.directory.findByName(id)).isEqualTo(word));
 			assertThat(member.list.state().ageMs()).isLessThan(DRAIN_MS);
 		});
 		assertThat(this.members.stream().filter((member) -> member.leadership.holds())).hasSize(1);
@@ -206,7 +206,7 @@
 			.isFalse();
 		if (member.list.listed()) {
 			this.leftAtMs.forEach((id, atMs) -> {
-				Upstream known = member.directory.listed(id);
+				Upstream known = member.directory.findByName(id);
 				boolean hidden = known != null && !known.leaving();
 				assertThat(hidden && atMs < nowMs - member.list.state().ageMs())
 					.as("a list is proved that misses a change")
