--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -258,7 +258,7 @@
 	 */
 	void peerChangesReceived(UpstreamChanges changes) {
 		boolean asked = this.listed && changes.after().equals(this.askedAfter);
-		if (asked && changes.extend(this.version)) {
+		if (asked && changes.appliesTo(this.version)) {
 			apply(changes, FROM_ROUTER);
 		}
 		else if (!asked || !changes.unknown()) {
@@ -291,7 +291,7 @@
 		@Override
 		public void changed(UpstreamChanges changes, long askedBootMs) {
 			proved(askedBootMs);
-			if (changes.extend(DirectorySynchronizer.this.version)) {
+			if (changes.appliesTo(DirectorySynchronizer.this.version)) {
 				apply(changes, FROM_STORE);
 				if (changes.size() > 0) {
 					DirectorySynchronizer.this.listener.notifyPeers();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamChanges.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamChanges.java
@@ -41,7 +41,7 @@
 	 * @param held the version of the list
 	 * @return whether they can be applied to it and say something new
 	 */
-	boolean extend(StoreVersion held) {
+	boolean appliesTo(StoreVersion held) {
 		return !this.after.after(held) && this.version.after(held);
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/RecentChangesTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/RecentChangesTests.java
@@ -81,10 +81,10 @@
 	void changesThatAreLateDoubledOrDoNotReachBackExtendNothing() {
 		UpstreamChanges changes = new UpstreamChanges(Versions.v(10), List.of(), List.of("a"), Versions.v(12));
 
-		assertThat(changes.extend(Versions.v(10))).isTrue();
-		assertThat(changes.extend(Versions.v(11))).isTrue();
-		assertThat(changes.extend(Versions.v(12))).isFalse();
-		assertThat(changes.extend(Versions.v(9))).isFalse();
+		assertThat(changes.appliesTo(Versions.v(10))).isTrue();
+		assertThat(changes.appliesTo(Versions.v(11))).isTrue();
+		assertThat(changes.appliesTo(Versions.v(12))).isFalse();
+		assertThat(changes.appliesTo(Versions.v(9))).isFalse();
 	}
 
 	private void add(long after, long revision, List<Upstream> changed, List<String> removed) {
