--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
@@ -38,7 +38,7 @@
 
 	/**
 	 * The largest message, in bytes: what is longer is cut by the channel and can't be
-	 * read. A message names {@link RecentChanges#MOST_TOLD} upstreams at most.
+	 * read. A message names {@link RecentChanges#MAX_PER_ANSWER} upstreams at most.
 	 */
 	private static final int MOST_DATAGRAM_BYTES = 16_384;
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RecentChanges.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RecentChanges.java
@@ -23,7 +23,7 @@
 	private static final int MOST_KEPT = 32;
 
 	/** Bounds a datagram: upstreams and names in one answer. */
-	static final int MOST_TOLD = 40;
+	static final int MAX_PER_ANSWER = 40;
 
 	private final Deque<UpstreamChanges> kept = new ArrayDeque<>();
 
@@ -77,7 +77,7 @@
 				apply(changes, changed, removed);
 			}
 		}
-		if (changed.size() + removed.size() > MOST_TOLD) {
+		if (changed.size() + removed.size() > MAX_PER_ANSWER) {
 			return UpstreamChanges.unknownAfter(version);
 		}
 		return new UpstreamChanges(version, List.copyOf(changed.values()), List.copyOf(removed),
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerLinkTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerLinkTests.java
@@ -39,7 +39,7 @@
 	@Test
 	void anAnswerWithAsManyChangesAsAreToldIsReadWhole() throws Exception {
 		UpstreamChanges changes = new UpstreamChanges(Versions.v(3),
-				IntStream.range(0, RecentChanges.MOST_TOLD)
+				IntStream.range(0, RecentChanges.MAX_PER_ANSWER)
 					.mapToObj((index) -> new Upstream("an-engine-with-a-long-name-" + index, 1_900_000_000_000L,
 							"a-service-with-a-long-name", "10.200.200.200:65535", "a-failure-domain-with-a-long-name",
 							134, "a-kind-of-accelerator", new LayerRange(40, 80), false))
