--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
@@ -242,8 +242,8 @@
 		this.ordered.put(engine.id(), new Ordered(placement.layers(), this.router.nowMs()));
 		this.engines.report(engine.address(), REPORT_MS, (report) -> {
 			UpstreamState state = this.router.directory().find(engine.id());
-			if (state == null
-					|| (report.isPresent() && !this.router.directory().confirmIncarnation(state.upstream(), report.get()))) {
+			if (state == null || (report.isPresent()
+					&& !this.router.directory().confirmIncarnation(state.upstream(), report.get()))) {
 				// It has started again: it counts its orders anew and holds nothing of
 				// what the plan was made for.
 				dropped(engine, "restarted-or-gone");
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -72,7 +72,8 @@
 		}
 		peers.heard(status, this.router.nowMs());
 		status.suspects().forEach(this.router.watch()::hearsay);
-		this.configurationSynchronizer.peerVersionReceived(status.version(), peers.provedAtMs(status), status.address());
+		this.configurationSynchronizer.peerVersionReceived(status.version(), peers.provedAtMs(status),
+				status.address());
 		this.directorySynchronizer.peerStateReceived(status.address(), status.list(), peers.listProvedAtMs(status));
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -173,8 +173,9 @@
 				settings.failureDomain());
 		this.directorySynchronizer = new DirectorySynchronizer(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
-		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationSynchronizer,
-				this.directorySynchronizer, this.layerKeeper, this.leadership, ports.store().era()));
+		this.peerLink = new PeerLink(this, this.peers,
+				new PeerConversation(this, settings, this.configurationSynchronizer, this.directorySynchronizer,
+						this.layerKeeper, this.leadership, ports.store().era()));
 		ports.store().era().onRestore(this::storeReturned);
 	}
 
@@ -229,7 +230,8 @@
 	}
 
 	private boolean known() {
-		return configuration() != null && this.configurationSynchronizer.confirmed() && this.directorySynchronizer.listed();
+		return configuration() != null && this.configurationSynchronizer.confirmed()
+				&& this.directorySynchronizer.listed();
 	}
 
 	private void stopListening() {
