--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationDocument.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationDocument.java
@@ -3,11 +3,11 @@
 import io.whinjunction.routing.RoutingConfiguration;
 
 /**
- * A configuration and the text that it was decoded from, so that it can be handed to a
- * router that can't read it for itself. Immutable by agreement: nobody changes the text.
+ * A configuration and the text that it was decoded from. The text is passed on to peers
+ * that cannot read the store. Immutable by convention: the array must not be modified.
  *
- * @param configuration the model
- * @param text what the store holds
+ * @param configuration the decoded configuration
+ * @param text the document as stored
  */
 public record ConfigurationDocument(RoutingConfiguration configuration, byte[] text) {
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
@@ -6,148 +6,153 @@
 /**
  * Decides whether a read of the configuration proves that it is the newest.
  * <p>
- * The failures it guards against: the store has come back from an older copy, and a
- * router takes what it reads there for the newest configuration. One that starts knows no
- * later version itself, so it asks others first; while another router has a later one in
- * force, nothing earlier is proved; and for the time that operators need to write theirs
- * again, no read proves anything, since a later one may have been accepted and lost.
+ * Guards against a router taking an outdated configuration for the newest one after the
+ * store was restored from an older copy. A starting router has no later version of its
+ * own, so it queries its peers first. While a peer reports a later version in force, no
+ * earlier version is proved. For the time that operators need to write their
+ * configuration again, no read proves anything, because a later version may have been
+ * accepted and lost.
  * <p>
- * Times are of the clock of proofs. Confined to the event loop.
+ * Times are on the clock of proofs. Confined to the event loop.
  */
 final class ConfigurationFreshness {
 
 	/**
-	 * How long after the store came back operators may take to write their newest
-	 * configuration again, as a part of the age up to which a proof is good: that of
-	 * before holds meanwhile.
+	 * How long operators may take after a restore of the store to write their newest
+	 * configuration again, as a ratio of the age up to which a proof is valid. The proof
+	 * from before the restore stays valid meanwhile.
 	 */
-	private static final double WRITTEN_AGAIN_PART = 0.4;
+	private static final double REWRITE_PERIOD_RATIO = 0.4;
 
-	/** How many others' word is enough: some of them may be behind themselves. */
-	private static final int MOST_CONSULTED = 8;
+	/**
+	 * Number of responding peers that suffices; it is more than one because peers may be
+	 * outdated themselves.
+	 */
+	private static final int SUFFICIENT_PEERS = 8;
 
 	private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
 	private final StoreEra era;
 
-	private final long proofGoodMs;
+	private final long proofValidMs;
 
-	private final Set<String> consulted = new HashSet<>();
+	private final Set<String> respondedPeers = new HashSet<>();
 
-	private int toConsult = MOST_CONSULTED;
+	private int requiredPeers = SUFFICIENT_PEERS;
 
 	private boolean confirmed;
 
-	private long latestHeard = -1;
+	private long latestPeerVersion = -1;
 
-	private long latestHeardAtMs = NEVER_MS;
+	private long latestPeerVersionAtMs = NEVER_MS;
 
-	private long returnedAtMs = NEVER_MS;
+	private long restoredAtMs = NEVER_MS;
 
 	/**
-	 * Nobody was heard yet.
+	 * Creates an instance without any reports of peers.
 	 * @param era the era of the store
-	 * @param proofGoodMs the age up to which a proof is good for keys, in milliseconds
+	 * @param proofValidMs the age up to which a proof is valid for keys, in milliseconds
 	 */
-	ConfigurationFreshness(StoreEra era, long proofGoodMs) {
+	ConfigurationFreshness(StoreEra era, long proofValidMs) {
 		this.era = era;
-		this.proofGoodMs = proofGoodMs;
+		this.proofValidMs = proofValidMs;
 	}
 
 	/**
-	 * Hears which version another router has in force.
-	 * @param version the version; -1 where it has none
-	 * @param address where that router takes messages
-	 * @param nowMs the time
+	 * Processes the version that a peer has in force.
+	 * @param version the version; -1 if it has none
+	 * @param address the address at which the peer receives messages
+	 * @param nowMs the current time
 	 */
 	void peerVersionReceived(long version, String address, long nowMs) {
-		if (version >= latest(nowMs)) {
-			this.latestHeard = version;
-			this.latestHeardAtMs = nowMs;
+		if (version >= latestPeerVersion(nowMs)) {
+			this.latestPeerVersion = version;
+			this.latestPeerVersionAtMs = nowMs;
 		}
 		if (version >= 0 && !this.confirmed) {
-			this.consulted.add(address);
-			confirmWhereEnough();
+			this.respondedPeers.add(address);
+			confirmIfSufficient();
 		}
 	}
 
-	// Forgotten where nobody says so any more: a version that was never accepted would
-	// keep keys from being honoured for good.
-	private long latest(long nowMs) {
-		return (nowMs - this.latestHeardAtMs < this.proofGoodMs) ? this.latestHeard : -1;
+	// Expires when no peer reports it any more: a reported version that was never
+	// accepted would otherwise keep keys from being honoured permanently.
+	private long latestPeerVersion(long nowMs) {
+		return (nowMs - this.latestPeerVersionAtMs < this.proofValidMs) ? this.latestPeerVersion : -1;
 	}
 
 	/**
-	 * Whether another router has a later version in force.
-	 * @param version the version that is known
-	 * @param nowMs the time
-	 * @return whether one said so lately
+	 * Returns whether a peer has a later version in force.
+	 * @param version the version to compare
+	 * @param nowMs the current time
+	 * @return whether a peer reported a later one recently
 	 */
 	boolean outdated(long version, long nowMs) {
-		return version < latest(nowMs);
+		return version < latestPeerVersion(nowMs);
 	}
 
 	/**
-	 * Other routers have been asked for what they know.
-	 * @param routers how many
+	 * Notes that peers were queried for their versions.
+	 * @param routers the number of peers queried
 	 */
 	void peersQueried(int routers) {
-		this.toConsult = Math.min(routers, MOST_CONSULTED);
-		confirmWhereEnough();
+		this.requiredPeers = Math.min(routers, SUFFICIENT_PEERS);
+		confirmIfSufficient();
 	}
 
-	private void confirmWhereEnough() {
-		this.confirmed |= this.consulted.size() >= this.toConsult;
+	private void confirmIfSufficient() {
+		this.confirmed |= this.respondedPeers.size() >= this.requiredPeers;
 	}
 
-	/** Others have been waited for long enough: their answers may be lost. */
-	void waitedEnough() {
+	/** Ends the wait for responses of peers, which may be lost. */
+	void peerResponseTimedOut() {
 		this.confirmed = true;
 	}
 
 	/**
-	 * Whether what was read may be acted on, as far as other routers can tell.
-	 * @return {@code false} while their word is waited for after a start
+	 * Returns whether the configuration may be acted on, as far as peers can tell.
+	 * @return {@code false} after a start, until peers have responded or the time for
+	 * that is over
 	 */
 	boolean confirmed() {
 		return this.confirmed || !this.era.known();
 	}
 
 	/**
-	 * The store has come back from an older copy.
-	 * @param ageMs how long ago that was heard, here or by another router of the same
-	 * era, in milliseconds; -1 where it wasn't
-	 * @param nowMs the time
+	 * Notes that the store was restored from an older copy.
+	 * @param ageMs how long ago this router or a peer of the same era learned of it, in
+	 * milliseconds; -1 if it did not
+	 * @param nowMs the current time
 	 */
 	void storeRestored(long ageMs, long nowMs) {
 		if (ageMs >= 0) {
-			this.returnedAtMs = Math.max(this.returnedAtMs, nowMs - ageMs);
+			this.restoredAtMs = Math.max(this.restoredAtMs, nowMs - ageMs);
 		}
 	}
 
 	/**
-	 * How long ago the store came back.
-	 * @param nowMs the time
-	 * @return milliseconds; -1 where it did not, as far as is known, or long ago
+	 * Returns how long ago the store was restored.
+	 * @param nowMs the current time
+	 * @return milliseconds; -1 if no restore is known or it was long ago
 	 */
 	long restoreAgeMs(long nowMs) {
-		long ageMs = nowMs - this.returnedAtMs;
-		return (ageMs < writtenAgainMs()) ? ageMs : -1;
+		long ageMs = nowMs - this.restoredAtMs;
+		return (ageMs < rewritePeriodMs()) ? ageMs : -1;
 	}
 
-	private long writtenAgainMs() {
-		return (long) (WRITTEN_AGAIN_PART * this.proofGoodMs);
+	private long rewritePeriodMs() {
+		return (long) (REWRITE_PERIOD_RATIO * this.proofValidMs);
 	}
 
 	/**
-	 * Whether a version that was read was the newest.
-	 * @param version the version
-	 * @param askedAtMs when it was asked for
-	 * @param nowMs the time
-	 * @return {@code false} where a later one may have been accepted
+	 * Returns whether a read proves that its version is the newest.
+	 * @param version the version read
+	 * @param requestedAtMs when it was requested
+	 * @param nowMs the current time
+	 * @return {@code false} if a later version may have been accepted
 	 */
-	boolean proves(long version, long askedAtMs, long nowMs) {
-		return confirmed() && !outdated(version, nowMs) && askedAtMs - this.returnedAtMs >= writtenAgainMs();
+	boolean proves(long version, long requestedAtMs, long nowMs) {
+		return confirmed() && !outdated(version, nowMs) && requestedAtMs - this.restoredAtMs >= rewritePeriodMs();
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -12,52 +12,54 @@
 import io.whinjunction.time.BootClock;
 
 /**
- * Keeps the newest configuration in force and proves that it is the newest.
+ * Keeps the local copy of the configuration current and proves that it is the newest.
  * <p>
- * One linearizable read does both. It is repeated where no other router has proved the
- * same version for a part of the time within which an accepted configuration has to be in
- * force; a few routers do so sooner than the others, so the fleet reads a few times a
- * period, and not each router once.
+ * One linearizable read does both. A router repeats it only if no peer has proved the
+ * same version within {@link #READ_PERIOD_RATIO} of the time by which an accepted
+ * configuration has to be in force. A few routers read earlier than the rest, so the
+ * fleet reads the store a few times per period instead of once per router.
  * <p>
- * {@link ConfigurationFreshness} says which reads prove anything, where the store has come
- * back from an older copy.
+ * {@link ConfigurationFreshness} decides which reads prove anything after the store has
+ * been restored from an older copy.
  * <p>
- * Invariants: the version in force never goes down; none is proved while another router
- * has a later one. Confined to the event loop.
+ * Invariants: the version in force never decreases; no version is proved while a peer
+ * reports a later one. Confined to the event loop.
  */
 final class ConfigurationSynchronizer {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/**
-	 * After which age of its proof a router reads, as a part of the time within which an
+	 * Age of the proof at which a router reads, as a ratio of the time by which an
 	 * accepted configuration has to be in force.
 	 */
-	private static final double PERIOD_PART = 0.5;
+	private static final double READ_PERIOD_RATIO = 0.5;
 
 	/**
-	 * The same for the few routers that wait at the store for changes of upstreams. All
-	 * routers of a fleet are proved by the same read and grow old together; some that
-	 * read sooner have told the others before those read too.
+	 * The same ratio for the few routers that watch the store for changes of upstreams.
+	 * One read renews the proof of the whole fleet, so all proofs expire together;
+	 * routers that read earlier notify the rest before those read too.
 	 */
-	private static final double FORERUNNER_PART = 0.25;
+	private static final double EARLY_READ_PERIOD_RATIO = 0.25;
 
-	/** What is added to the pause by chance, as a part of the same time. */
-	private static final double SPREAD_PART = 0.125;
+	/**
+	 * Upper bound of the random jitter of the read interval, as a ratio of the same time.
+	 */
+	private static final double JITTER_RATIO = 0.125;
 
 	/**
-	 * The same for those that read sooner: long enough for the first one's proof to reach
+	 * The same for the routers that read early: long enough for the first proof to reach
 	 * most of the others.
 	 */
-	private static final double FORERUNNER_SPREAD_PART = 0.25;
+	private static final double EARLY_JITTER_RATIO = 0.25;
 
 	/**
-	 * How long a router that starts waits for another one's word on the version, in
-	 * milliseconds: a few times what an answer takes.
+	 * How long a starting router waits for its peers to report their versions, in
+	 * milliseconds: several times the usual response time.
 	 */
-	private static final long CONSULT_MS = 300;
+	private static final long PEER_RESPONSE_TIMEOUT_MS = 300;
 
-	/** The pause after a read that failed, in milliseconds: a few calls a second. */
+	/** Delay before a failed read is retried, in milliseconds: four calls per second. */
 	private static final long RETRY_MS = 250;
 
 	private static final long NEVER_MS = Long.MIN_VALUE / 2;
@@ -76,13 +78,13 @@
 
 	private final Runnable changed;
 
-	private final ConfigurationFreshness trust;
+	private final ConfigurationFreshness freshness;
 
 	private final RandomGenerator random;
 
 	private ConfigurationDocument document;
 
-	private boolean inTouch = true;
+	private boolean storeReachable = true;
 
 	private ScheduledFuture<?> next;
 
@@ -90,33 +92,34 @@
 
 	private boolean fetching;
 
-	/** Whether the store was last seen with an older version than another router's. */
-	private boolean storeIsBehind;
+	/** Whether the last read returned an older version than a peer has in force. */
+	private boolean storeOutdated;
 
 	private boolean stopped;
 
-	/** The newest proof that waits for others' word, on the clock of proofs. */
-	private long unconfirmedAtMs = NEVER_MS;
+	/** Time of the newest proof not yet confirmed by peers, on the clock of proofs. */
+	private long unconfirmedProofAtMs = NEVER_MS;
 
 	/**
-	 * A keeper.
+	 * Creates a synchronizer.
 	 * @param loop the event loop
-	 * @param store where the configuration is
-	 * @param proof what to keep fresh
+	 * @param store the store of the configuration
+	 * @param proof the freshness proof to renew
 	 * @param boot the clock of proofs
-	 * @param inForceMs within which time an accepted configuration must be in force, in
+	 * @param inForceMs time by which an accepted configuration must be in force, in
 	 * milliseconds
 	 * @param readsEarly whether this router is one of the few that read before the others
-	 * @param changed is run after each change, and once the first one is confirmed
+	 * @param changed run after each change, and once when the first configuration is
+	 * confirmed
 	 * @param era the era of the store
-	 * @param random the source of chance
+	 * @param random the source of randomness
 	 */
-	ConfigurationSynchronizer(EventLoop loop, FleetStore store, ConfigurationProof proof, BootClock boot, long inForceMs,
-			BooleanSupplier readsEarly, Runnable changed, StoreEra era, RandomGenerator random) {
+	ConfigurationSynchronizer(EventLoop loop, FleetStore store, ConfigurationProof proof, BootClock boot,
+			long inForceMs, BooleanSupplier readsEarly, Runnable changed, StoreEra era, RandomGenerator random) {
 		this.inForceMs = inForceMs;
 		this.readsEarly = readsEarly;
 		this.changed = changed;
-		this.trust = new ConfigurationFreshness(era, proof.keysBoundMs());
+		this.freshness = new ConfigurationFreshness(era, proof.keysBoundMs());
 		this.random = random;
 		this.loop = loop;
 		this.store = store;
@@ -129,8 +132,8 @@
 	}
 
 	/**
-	 * The configuration in force with its text.
-	 * @return the document, or {@code null} before the first
+	 * Returns the configuration in force with its text.
+	 * @return the document, or {@code null} before the first read
 	 */
 	ConfigurationDocument document() {
 		return this.document;
@@ -141,100 +144,103 @@
 	}
 
 	/**
-	 * Hears of a version from another router.
-	 * @param version the version in force there
+	 * Processes the version that a peer reports.
+	 * @param version the version in force at the peer
 	 * @param provedAtMs when it was proved to be the newest, on the clock of proofs
-	 * @param peerAddress where that router takes messages
+	 * @param peerAddress the address at which the peer receives messages
 	 */
 	void peerVersionReceived(long version, long provedAtMs, String peerAddress) {
 		long own = version();
-		boolean before = confirmed();
-		this.trust.peerVersionReceived(version, peerAddress, this.boot.nowMs());
-		noteConfirmed(before);
+		boolean wasConfirmed = confirmed();
+		this.freshness.peerVersionReceived(version, peerAddress, this.boot.nowMs());
+		notifyIfConfirmed(wasConfirmed);
 		if (version == own && version >= 0) {
 			proved(provedAtMs);
 		}
-		else if (version > own && this.inTouch && !this.storeIsBehind && !this.reading) {
+		else if (version > own && this.storeReachable && !this.storeOutdated && !this.reading) {
 			read();
 		}
-		else if (version > own && (!this.inTouch || this.storeIsBehind) && !this.fetching) {
-			// The store turns this router away and serves others, or has come back from
-			// an older copy: keys that were taken away meanwhile are known only there.
+		else if (version > own && (!this.storeReachable || this.storeOutdated) && !this.fetching) {
+			// The store rejects this router but serves others, or it was restored from an
+			// older copy. Only the configurations of peers reflect keys revoked since
+			// then.
 			this.fetching = true;
-			long askedAtMs = this.boot.nowMs();
-			this.store.fetchConfiguration(peerAddress, (reply) -> takeFetched(reply, askedAtMs));
+			long requestedAtMs = this.boot.nowMs();
+			this.store.fetchConfiguration(peerAddress, (reply) -> configurationFetched(reply, requestedAtMs));
 		}
 	}
 
-	private void takeFetched(StoreReply<FleetStore.Fetched> reply, long askedAtMs) {
+	private void configurationFetched(StoreReply<FleetStore.Fetched> reply, long requestedAtMs) {
 		this.fetching = false;
 		if (reply instanceof StoreReply.Found<FleetStore.Fetched> found) {
-			offer(found.value().document(), askedAtMs - found.value().proofAgeMs());
+			accept(found.value().document(), requestedAtMs - found.value().proofAgeMs());
 		}
 		else {
 			logger.atWarning().log("event=fetch-failed reason=\"%s\"", reply);
 		}
 	}
 
-	/** The store has come back from an older copy. */
+	/** Handles a restore of the store from an older copy. */
 	void storeRestored() {
 		peerRestoreReceived(0);
 	}
 
 	/**
-	 * Hears from another router of the same era that the store has come back.
-	 * @param ageMs how long ago it heard so, in milliseconds; -1 where it didn't
+	 * Processes the age of a restore of the store as reported by a peer of the same era.
+	 * @param ageMs how long ago the peer learned of the restore, in milliseconds; -1 if
+	 * it knows of none
 	 */
 	void peerRestoreReceived(long ageMs) {
-		this.trust.storeRestored(ageMs, this.boot.nowMs());
+		this.freshness.storeRestored(ageMs, this.boot.nowMs());
 	}
 
 	/**
-	 * How long ago the store came back.
-	 * @return milliseconds; -1 where it did not, as far as is known, or long ago
+	 * Returns how long ago the store was restored.
+	 * @return milliseconds; -1 if no restore is known or it was long ago
 	 */
 	long restoreAgeMs() {
-		return this.trust.restoreAgeMs(this.boot.nowMs());
+		return this.freshness.restoreAgeMs(this.boot.nowMs());
 	}
 
 	/**
-	 * Other routers have been asked for what they know.
-	 * @param routers how many; their answers may be lost
+	 * Notes that peers were queried for their versions.
+	 * @param routers the number of peers queried; their responses may be lost
 	 */
 	void peersQueried(int routers) {
-		boolean before = confirmed();
-		this.trust.peersQueried(routers);
-		noteConfirmed(before);
-		this.loop.schedule(this::waitedEnough, CONSULT_MS, TimeUnit.MILLISECONDS);
+		boolean wasConfirmed = confirmed();
+		this.freshness.peersQueried(routers);
+		notifyIfConfirmed(wasConfirmed);
+		this.loop.schedule(this::peerResponseTimedOut, PEER_RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
 	}
 
-	private void waitedEnough() {
-		boolean before = confirmed();
-		this.trust.waitedEnough();
-		noteConfirmed(before);
+	private void peerResponseTimedOut() {
+		boolean wasConfirmed = confirmed();
+		this.freshness.peerResponseTimedOut();
+		notifyIfConfirmed(wasConfirmed);
 	}
 
-	private void noteConfirmed(boolean before) {
-		if (!before && confirmed()) {
-			proved(this.unconfirmedAtMs);
+	private void notifyIfConfirmed(boolean wasConfirmed) {
+		if (!wasConfirmed && confirmed()) {
+			proved(this.unconfirmedProofAtMs);
 			this.changed.run();
 		}
 	}
 
 	/**
-	 * Whether what was read may be acted on, as far as other routers can tell.
-	 * @return {@code false} while their word is waited for after a start
+	 * Returns whether the configuration may be acted on, as far as peers can tell.
+	 * @return {@code false} after a start, until peers have responded or the time for
+	 * that is over
 	 */
 	boolean confirmed() {
-		return this.trust.confirmed();
+		return this.freshness.confirmed();
 	}
 
-	private void proved(long askedAtMs) {
+	private void proved(long requestedAtMs) {
 		if (!confirmed()) {
-			this.unconfirmedAtMs = Math.max(this.unconfirmedAtMs, askedAtMs);
+			this.unconfirmedProofAtMs = Math.max(this.unconfirmedProofAtMs, requestedAtMs);
 		}
-		else if (this.trust.proves(version(), askedAtMs, this.boot.nowMs())) {
-			this.proof.proved(askedAtMs);
+		else if (this.freshness.proves(version(), requestedAtMs, this.boot.nowMs())) {
+			this.proof.proved(requestedAtMs);
 		}
 	}
 
@@ -251,21 +257,21 @@
 			return;
 		}
 		this.reading = true;
-		long askedAtMs = this.boot.nowMs();
-		this.store.readConfiguration((reply) -> take(reply, askedAtMs));
+		long requestedAtMs = this.boot.nowMs();
+		this.store.readConfiguration((reply) -> configurationRead(reply, requestedAtMs));
 	}
 
-	private void take(StoreReply<ConfigurationDocument> reply, long askedAtMs) {
+	private void configurationRead(StoreReply<ConfigurationDocument> reply, long requestedAtMs) {
 		this.reading = false;
 		long pauseMs = RETRY_MS;
 		if (reply instanceof StoreReply.Found<ConfigurationDocument> found) {
-			noteTouch(true, "read");
-			this.storeIsBehind = this.trust.outdated(found.value().configuration().version(), this.boot.nowMs());
-			offer(found.value(), askedAtMs);
-			pauseMs = periodMs() + spreadMs();
+			updateReachability(true, "read");
+			this.storeOutdated = this.freshness.outdated(found.value().configuration().version(), this.boot.nowMs());
+			accept(found.value(), requestedAtMs);
+			pauseMs = periodMs() + jitterMs();
 		}
 		else {
-			noteTouch(false, reply.toString());
+			updateReachability(false, reply.toString());
 		}
 		if (this.next != null) {
 			this.next.cancel(false);
@@ -274,28 +280,28 @@
 	}
 
 	private long periodMs() {
-		return (long) ((this.readsEarly.getAsBoolean() ? FORERUNNER_PART : PERIOD_PART) * this.inForceMs);
+		return (long) ((this.readsEarly.getAsBoolean() ? EARLY_READ_PERIOD_RATIO : READ_PERIOD_RATIO) * this.inForceMs);
 	}
 
-	private long spreadMs() {
-		double part = this.readsEarly.getAsBoolean() ? FORERUNNER_SPREAD_PART : SPREAD_PART;
-		return this.random.nextLong(Math.max(1, (long) (part * this.inForceMs)));
+	private long jitterMs() {
+		double ratio = this.readsEarly.getAsBoolean() ? EARLY_JITTER_RATIO : JITTER_RATIO;
+		return this.random.nextLong(Math.max(1, (long) (ratio * this.inForceMs)));
 	}
 
 	private void readUnlessProved() {
 		long ageMs = this.proof.ageMs(this.boot.nowMs());
 		long periodMs = periodMs();
 		if (ageMs < periodMs) {
-			// Another router has read meanwhile; the pause goes on from there, and a part
-			// by chance keeps routers from reading together.
-			long pauseMs = periodMs - ageMs + spreadMs();
+			// A peer has read meanwhile; the interval is counted from its proof. The
+			// jitter keeps routers from reading at the same time.
+			long pauseMs = periodMs - ageMs + jitterMs();
 			this.next = this.loop.schedule(this::readUnlessProved, pauseMs, TimeUnit.MILLISECONDS);
 			return;
 		}
 		read();
 	}
 
-	private void offer(ConfigurationDocument read, long provedAtMs) {
+	private void accept(ConfigurationDocument read, long provedAtMs) {
 		long before = version();
 		long version = read.configuration().version();
 		if (version < before) {
@@ -303,19 +309,20 @@
 			return;
 		}
 		if (version > before) {
-			logger.atInfo().log("event=configuration version=%d before=%d in-touch=%s", version, before, this.inTouch);
+			logger.atInfo()
+				.log("event=configuration version=%d before=%d in-touch=%s", version, before, this.storeReachable);
 			this.document = read;
 			this.changed.run();
 		}
 		proved(provedAtMs);
 	}
 
-	private void noteTouch(boolean now, String reason) {
-		if (now != this.inTouch) {
-			this.inTouch = now;
+	private void updateReachability(boolean reachable, String reason) {
+		if (reachable != this.storeReachable) {
+			this.storeReachable = reachable;
 			logger.atWarning()
 				.log("event=%s dependency=store call=configuration reason=\"%s\" proof-age-ms=%d",
-						now ? "regained" : "lost", reason, this.proof.ageMs(this.boot.nowMs()));
+						reachable ? "regained" : "lost", reason, this.proof.ageMs(this.boot.nowMs()));
 		}
 	}
 
