--- a/whinjunction-router/src/main/java/io/whinjunction/router/FleetStore.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/FleetStore.java
@@ -6,93 +6,95 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * What a router reads and writes in the platform's store. Calls don't block; each reply
- * comes once, on the event loop, at the latest after the call's time limit. A reply of an
- * earlier era of the store is {@link StoreReply.Unavailable}, and one to a question that
- * names a version of an earlier era is {@link StoreReply.Outdated}.
+ * The platform's store as a router reads and writes it. Calls do not block. Each reply is
+ * delivered exactly once, on the event loop, no later than the call's timeout. A reply of
+ * an earlier era of the store is delivered as {@link StoreReply.Unavailable}, and one to
+ * a query that names a version of an earlier era as {@link StoreReply.Outdated}.
  */
 public interface FleetStore {
 
 	/**
-	 * The era of the store, as far as its answers and other routers have told.
-	 * @return the era, which each answer may bring forward
+	 * Returns the era of the store as reported by its replies and by peers.
+	 * @return the era, which each reply may advance
 	 */
 	StoreEra era();
 
 	/**
-	 * Reads the newest configuration, linearizably.
-	 * @param done takes the reply
+	 * Reads the newest configuration with a linearizable read.
+	 * @param done receives the reply
 	 */
 	void readConfiguration(Consumer<StoreReply<ConfigurationDocument>> done);
 
 	/**
-	 * Reads the newest configuration from another router.
-	 * @param peerAddress {@code IP:PORT} where it takes messages
-	 * @param done takes the reply
+	 * Reads the configuration in force at a peer.
+	 * @param peerAddress {@code IP:PORT} at which the peer receives messages
+	 * @param done receives the reply
 	 */
 	void fetchConfiguration(String peerAddress, Consumer<StoreReply<Fetched>> done);
 
 	/**
 	 * Lists all upstreams.
-	 * @param done takes the reply
+	 * @param done receives the reply
 	 */
 	void listUpstreams(Consumer<StoreReply<UpstreamListing>> done);
 
 	/**
-	 * Waits for changes of the upstreams.
-	 * @param after the version that is known
-	 * @param waitMs how long to wait, in milliseconds
-	 * @param done takes the reply; no changes where none came
+	 * Watches for changes of the upstreams.
+	 * @param after the version that the caller has
+	 * @param waitMs how long the store may wait for a change, in milliseconds
+	 * @param done receives the reply, which is empty if nothing changed
 	 */
 	void watchUpstreams(StoreVersion after, long waitMs, Consumer<StoreReply<UpstreamChanges>> done);
 
 	/**
-	 * Says where this router takes messages of others, and hears where they do.
-	 * @param name this router
+	 * Announces the address at which this router receives messages of peers, and reads
+	 * theirs.
+	 * @param name the name of this router
 	 * @param address {@code IP:PORT}
-	 * @param done takes the addresses of all routers that ever said so
+	 * @param done receives the addresses of all routers that ever announced one
 	 */
 	void announce(String name, String address, Consumer<StoreReply<List<String>>> done);
 
 	/**
-	 * Reads the lease, linearizably.
-	 * @param done takes the reply
+	 * Reads the lease with a linearizable read.
+	 * @param done receives the reply
 	 */
 	void readLease(Consumer<StoreReply<LeaseObject>> done);
 
 	/**
-	 * Writes the lease where its version is still the one given.
-	 * @param lease what to write, with the version to replace; revision 0 creates it
-	 * @param done takes the lease as written
+	 * Writes the lease if its stored version is still the one given.
+	 * @param lease the lease to write, with the version to replace; revision 0 creates it
+	 * @param done receives the lease as written
 	 */
 	void writeLease(LeaseObject lease, Consumer<StoreReply<LeaseObject>> done);
 
 	/**
-	 * Reads which requests are refused since they crash upstreams.
-	 * @param done takes the names under which they were recorded
+	 * Reads which requests are refused because they crash upstreams.
+	 * @param done receives the names under which they were recorded
 	 */
 	void readCrashing(Consumer<StoreReply<List<String>>> done);
 
 	/**
-	 * Records that a request is refused since it crashes upstreams.
-	 * @param name the request
-	 * @param done takes the reply; {@link StoreReply.Outdated} where that is recorded
-	 * already
+	 * Records that a request is refused because it crashes upstreams.
+	 * @param name the name of the request
+	 * @param done receives the reply; {@link StoreReply.Outdated} if it is already
+	 * recorded
 	 */
 	void recordCrashing(String name, Consumer<StoreReply<Boolean>> done);
 
 	/**
-	 * Removes the record of a request that isn't refused any more.
-	 * @param name the request
-	 * @param done takes the reply; {@link StoreReply.Absent} where there was none
+	 * Removes the record of a request that is no longer refused.
+	 * @param name the name of the request
+	 * @param done receives the reply; {@link StoreReply.Absent} if there was no record
 	 */
 	void removeCrashing(String name, Consumer<StoreReply<Boolean>> done);
 
 	/**
-	 * A configuration from another router. Immutable.
+	 * A configuration read from a peer. Immutable.
 	 *
 	 * @param document the configuration
-	 * @param proofAgeMs the age of its proof there when it answered, in milliseconds
+	 * @param proofAgeMs the age of its proof at the peer when it responded, in
+	 * milliseconds
 	 */
 	record Fetched(ConfigurationDocument document, long proofAgeMs) {
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -7,25 +7,26 @@
 import com.google.common.flogger.FluentLogger;
 
 /**
- * The era of the platform's store, and what an answer is worth by the era that it is of.
+ * The era of the platform's store. Validates each reply of the store against the current
+ * era.
  * <p>
- * The failure it guards against: the store comes back from an older copy of itself, and
- * an answer of before, or one to a question that was asked by a revision of before, is
- * taken for what the store holds now.
+ * Guards against a store that was restored from an older copy of itself: a reply from
+ * before the restore, or a reply to a query that names a revision from before it, must
+ * not be taken for the current state of the store.
  * <p>
- * Invariants: the era never goes down; each later one that the store or another router
- * names is told once to whoever keeps state of the store, before the answer that brought
- * it is used. Confined to the event loop.
+ * Invariants: the era never decreases; each later era that the store or a peer reports is
+ * announced exactly once to the holders of state of the store, before the reply that
+ * reported it is used. Confined to the event loop.
  */
 public final class StoreEra {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** An answer that doesn't say its era, or not in a way that can be read. */
+	/** The era of a reply that names none, or none that can be parsed. */
 	public static final long UNSPECIFIED = -1;
 
-	/** The pause between two lines about answers that are passed over, in seconds. */
-	private static final int PASSED_OVER_LOG_S = 5;
+	/** Minimum interval between log lines about ignored replies, in seconds. */
+	private static final int IGNORED_LOG_INTERVAL_S = 5;
 
 	private final List<Runnable> listeners = new ArrayList<>();
 
@@ -33,79 +34,84 @@
 
 	private long current;
 
-	/** The latest era that anybody told of, which holders of state have heard of. */
-	private long told;
+	/** The latest era reported by anyone, which has been announced to the listeners. */
+	private long announced;
 
 	/**
-	 * The era of the newest answer.
-	 * @return the era; 0 where the store has never said one
+	 * Returns the era of the newest reply.
+	 * @return the era; 0 if the store has never named one
 	 */
 	public long current() {
 		return this.current;
 	}
 
 	/**
-	 * Whether the store says eras at all, so that it may come back.
-	 * @return {@code false} also before the first answer
+	 * Returns whether the store names eras at all, and may therefore be restored from an
+	 * older copy.
+	 * @return {@code false} also before the first reply
 	 */
 	boolean known() {
 		return this.known;
 	}
 
 	/**
-	 * Hears of each later era.
-	 * @param listener is run once for each, on the event loop
+	 * Registers a listener for later eras.
+	 * @param listener run once for each later era, on the event loop
 	 */
 	void onRestore(Runnable listener) {
 		this.listeners.add(listener);
 	}
 
 	/**
-	 * The era of what an answer holds.
-	 * @param saidEra what it says, or {@link #UNSPECIFIED}
+	 * Returns the era that applies to the content of a reply.
+	 * @param namedEra the era that the reply names, or {@link #UNSPECIFIED}
 	 * @return the era
 	 */
-	public long effectiveEra(long saidEra) {
-		return (saidEra == UNSPECIFIED) ? this.current : saidEra;
+	public long effectiveEra(long namedEra) {
+		return (namedEra == UNSPECIFIED) ? this.current : namedEra;
 	}
 
 	/**
-	 * Takes an answer of the store.
-	 * @param question under which era it was asked, and whether it makes sense there only
-	 * @param saidEra the era that the answer says, or {@link #UNSPECIFIED}
-	 * @param reply what it says beside that
-	 * @param <T> what was asked for
-	 * @return what may be used of it
+	 * Validates a reply of the store.
+	 * @param query the era in which the query was sent, and whether its reply is valid in
+	 * that era only
+	 * @param namedEra the era that the reply names, or {@link #UNSPECIFIED}
+	 * @param reply the reply apart from its era
+	 * @param <T> the type of the result
+	 * @return the reply if it may be used, otherwise one that says why not
 	 */
-	public <T> StoreReply<T> validate(Query question, long saidEra, StoreReply<T> reply) {
-		if (saidEra == UNSPECIFIED && this.known) {
+	public <T> StoreReply<T> validate(Query query, long namedEra, StoreReply<T> reply) {
+		if (namedEra == UNSPECIFIED && this.known) {
 			logger.atWarning()
-				.atMostEvery(PASSED_OVER_LOG_S, TimeUnit.SECONDS)
+				.atMostEvery(IGNORED_LOG_INTERVAL_S, TimeUnit.SECONDS)
 				.log("event=answer-without-era era=%d", this.current);
 		}
-		long answerEra = (saidEra == UNSPECIFIED) ? question.era() : saidEra;
-		if (this.known && answerEra < this.current) {
+		long replyEra = (namedEra == UNSPECIFIED) ? query.era() : namedEra;
+		if (this.known && replyEra < this.current) {
 			logger.atWarning()
-				.atMostEvery(PASSED_OVER_LOG_S, TimeUnit.SECONDS)
-				.log("event=answer-of-earlier-era era=%d current=%d", answerEra, this.current);
-			return new StoreReply.Unavailable<>("of era " + answerEra + ", now " + this.current);
+				.atMostEvery(IGNORED_LOG_INTERVAL_S, TimeUnit.SECONDS)
+				.log("event=answer-of-earlier-era era=%d current=%d", replyEra, this.current);
+			return new StoreReply.Unavailable<>("reply of era " + replyEra + ", current era " + this.current);
 		}
-		if (saidEra != UNSPECIFIED) {
-			advance(saidEra);
+		if (namedEra != UNSPECIFIED) {
+			advance(namedEra);
 		}
-		boolean outlived = question.bound() && answerEra != question.era();
-		return (outlived && reply instanceof StoreReply.Found<T>) ? new StoreReply.Outdated<>() : reply;
+		boolean outdated = query.bound() && replyEra != query.era();
+		return (outdated && reply instanceof StoreReply.Found<T>) ? new StoreReply.Outdated<>() : reply;
 	}
 
 	/**
-	 * Hears of an era from another router. Answers are judged by what the store says
-	 * itself: a message that names an era which never was would make all of them late.
-	 * @param era the era that it has from the store
+	 * Processes the era that a peer reports. It is announced to the listeners, but
+	 * replies are validated only by the eras that the store itself names: a message that
+	 * names an era which never existed would otherwise make all replies count as
+	 * outdated.
+	 * @param era the era that the peer received from the store
 	 */
 	void eraReceived(long era) {
-		// Without an answer of the store this router has nothing that could be outlived.
-		if (this.known && era > this.told) {
-			tell(era, "router");
+		// Before the first reply of the store, this router holds no state that could be
+		// outdated.
+		if (this.known && era > this.announced) {
+			announce(era, "router");
 		}
 	}
 
@@ -118,41 +124,42 @@
 		this.current = era;
 		if (first) {
 			logger.atInfo().log("event=store-era era=%d", era);
-			this.told = era;
+			this.announced = era;
 		}
-		else if (era > this.told) {
-			tell(era, "store");
+		else if (era > this.announced) {
+			announce(era, "store");
 		}
 	}
 
-	private void tell(long era, String source) {
-		logger.atInfo().log("event=store-returned era=%d before=%d from=%s", era, this.told, source);
-		this.told = era;
+	private void announce(long era, String source) {
+		logger.atInfo().log("event=store-returned era=%d before=%d from=%s", era, this.announced, source);
+		this.announced = era;
 		this.listeners.forEach(Runnable::run);
 	}
 
 	/**
-	 * Begins a question that makes sense under any era: a read of the newest state.
-	 * @return the question
+	 * Creates a query that is valid in any era: a read of the newest state.
+	 * @return the query
 	 */
 	public Query unboundQuery() {
 		return new Query(this.current, false);
 	}
 
 	/**
-	 * Begins a question that names a revision, which another era gives to something else.
+	 * Creates a query that names a revision, which another era may assign to a different
+	 * state.
 	 * @param era the era of that revision
-	 * @return the question
+	 * @return the query
 	 */
 	public Query boundQuery(long era) {
 		return new Query(era, true);
 	}
 
 	/**
-	 * What matters of a question. Immutable.
+	 * The era of a query. Immutable.
 	 *
-	 * @param era the era under which it was asked
-	 * @param bound whether its answer makes sense in that era only
+	 * @param era the era in which it was sent
+	 * @param bound whether its reply is valid in that era only
 	 */
 	public record Query(long era, boolean bound) {
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreReply.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreReply.java
@@ -1,43 +1,44 @@
 package io.whinjunction.router;
 
 /**
- * What is known of a call to the platform's store. Immutable.
+ * Outcome of a call to the platform's store. Immutable.
  *
- * @param <T> what the call asks for
+ * @param <T> the type of the result
  */
 public sealed interface StoreReply<T> {
 
 	/**
-	 * The store answered.
+	 * The store replied.
 	 *
-	 * @param value the answer
-	 * @param <T> its type
+	 * @param value the result
+	 * @param <T> the type of the result
 	 */
 	record Found<T>(T value) implements StoreReply<T> {
 	}
 
 	/**
-	 * There is no such object.
+	 * The object does not exist.
 	 *
-	 * @param <T> what was asked for
+	 * @param <T> the type of the result
 	 */
 	record Absent<T>() implements StoreReply<T> {
 	}
 
 	/**
-	 * A condition was not met, or the history asked for is gone: read anew.
+	 * A condition was not met, or the requested history has been discarded; the caller
+	 * has to read again.
 	 *
-	 * @param <T> what was asked for
+	 * @param <T> the type of the result
 	 */
 	record Outdated<T>() implements StoreReply<T> {
 	}
 
 	/**
-	 * The store did not answer, or not in a way that can be read. A write may have taken
+	 * The store did not reply, or its reply could not be parsed. A write may have taken
 	 * effect.
 	 *
-	 * @param reason why, for logs
-	 * @param <T> what was asked for
+	 * @param reason the cause, for logs
+	 * @param <T> the type of the result
 	 */
 	record Unavailable<T>(String reason) implements StoreReply<T> {
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -15,8 +15,8 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * A store in simulated time, whose calls and answers are late or lost, and which comes
- * back from older copies of itself. For one thread.
+ * A store in simulated time whose calls and replies are delayed or lost, and which is
+ * restored from older copies of itself. Not thread-safe.
  */
 final class SimulatedStore {
 
@@ -33,7 +33,7 @@
 
 	private final List<State> history = new ArrayList<>();
 
-	private final List<Wait> waits = new ArrayList<>();
+	private final List<Watch> watches = new ArrayList<>();
 
 	private State state = new State(1, Map.of(), 1, null);
 
@@ -43,14 +43,14 @@
 
 	private long order;
 
-	private boolean away;
+	private boolean unavailable;
 
 	private boolean calm;
 
 	/**
-	 * A store.
-	 * @param random the source of chance
-	 * @param peers the configuration of a router, by its address
+	 * Creates a store.
+	 * @param random the source of randomness
+	 * @param peers returns the configuration of a router by its address
 	 */
 	SimulatedStore(Random random, Function<String, StoreReply<FleetStore.Fetched>> peers) {
 		this.random = random;
@@ -65,7 +65,7 @@
 		return this.era;
 	}
 
-	/** From now on nothing is late or lost. */
+	/** Stops all delays and losses. */
 	void calm() {
 		this.calm = true;
 	}
@@ -74,8 +74,8 @@
 		return !this.calm && this.random.nextInt(oneIn) == 0;
 	}
 
-	boolean away() {
-		return this.away;
+	boolean unavailable() {
+		return this.unavailable;
 	}
 
 	long configurationVersion() {
@@ -106,7 +106,7 @@
 		upstreams.put(upstream.id(), upstream);
 		write(new State(this.state.revision + 1, Map.copyOf(upstreams), this.state.configurationVersion,
 				this.state.lease));
-		List.copyOf(this.waits).forEach(Wait::end);
+		List.copyOf(this.watches).forEach(Watch::end);
 	}
 
 	private void write(State newer) {
@@ -114,12 +114,15 @@
 		this.state = newer;
 	}
 
-	/** Is away for a while, and then comes back as it was some writes ago. */
-	void comeBack(int writesAgo, long awayMs) {
-		this.away = true;
-		this.waits.clear();
-		later(awayMs, () -> {
-			this.away = false;
+	/**
+	 * Makes the store unavailable for a while, then restores its state of some writes
+	 * ago.
+	 */
+	void restore(int writesAgo, long unavailableMs) {
+		this.unavailable = true;
+		this.watches.clear();
+		later(unavailableMs, () -> {
+			this.unavailable = false;
 			this.era++;
 			for (int write = 0; write < writesAgo && !this.history.isEmpty(); write++) {
 				this.state = this.history.removeLast();
@@ -128,12 +131,12 @@
 	}
 
 	/**
-	 * What a router sees of it.
-	 * @param reaches whether its calls and their answers get through now
-	 * @param eraHeard the router's era
+	 * Returns the store as one router sees it.
+	 * @param reaches whether calls and replies of the router get through at present
+	 * @param eraReceived the era as the router knows it
 	 */
-	FleetStore seenBy(Reach reaches, StoreEra eraHeard) {
-		return new View(reaches, eraHeard);
+	FleetStore seenBy(Reach reaches, StoreEra eraReceived) {
+		return new View(reaches, eraReceived);
 	}
 
 	static ConfigurationDocument document(long version) {
@@ -141,7 +144,7 @@
 				new RoutingConfiguration(version, List.of(), List.of(), CallerLimits.DEFAULT, List.of()), new byte[0]);
 	}
 
-	/** Whether a router reaches the store. */
+	/** Tells whether a router reaches the store. */
 	interface Reach {
 
 		boolean now();
@@ -157,38 +160,38 @@
 	private record Lease(String holder, long fencing, String nonce, long revision) {
 	}
 
-	/** A wait for changes that is open. */
-	private final class Wait {
+	/** An open watch for changes. */
+	private final class Watch {
 
 		private final Runnable answer;
 
-		private Wait(Runnable answer) {
+		private Watch(Runnable answer) {
 			this.answer = answer;
 		}
 
 		private void end() {
-			if (SimulatedStore.this.waits.remove(this)) {
+			if (SimulatedStore.this.watches.remove(this)) {
 				this.answer.run();
 			}
 		}
 
 	}
 
-	/** The store by the calls of one router. */
+	/** The store as seen by one router. */
 	private final class View implements FleetStore {
 
 		private final Reach reach;
 
-		private final StoreEra heard;
+		private final StoreEra knownEra;
 
-		private View(Reach reach, StoreEra heard) {
+		private View(Reach reach, StoreEra knownEra) {
 			this.reach = reach;
-			this.heard = heard;
+			this.knownEra = knownEra;
 		}
 
 		@Override
 		public StoreEra era() {
-			return this.heard;
+			return this.knownEra;
 		}
 
 		private <T> void call(StoreEra.Query question, long limitMs, Consumer<Answer<T>> work,
@@ -205,18 +208,18 @@
 				return;
 			}
 			later(delayMs(), () -> {
-				if (!SimulatedStore.this.away) {
+				if (!SimulatedStore.this.unavailable) {
 					work.accept((reply) -> answer(question, reply, once));
 				}
 			});
 		}
 
 		private <T> void answer(StoreEra.Query question, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
-			long saidEra = SimulatedStore.this.era;
+			long replyEra = SimulatedStore.this.era;
 			if (!rarely(20)) {
 				later(delayMs(), () -> {
 					if (this.reach.now()) {
-						done.accept(this.heard.validate(question, saidEra, reply));
+						done.accept(this.knownEra.validate(question, replyEra, reply));
 					}
 				});
 			}
@@ -228,8 +231,8 @@
 
 		@Override
 		public void readConfiguration(Consumer<StoreReply<ConfigurationDocument>> done) {
-			this.<ConfigurationDocument>call(this.heard.unboundQuery(), CALL_MS, (answer) -> answer
-				.give(new StoreReply.Found<>(document(SimulatedStore.this.state.configurationVersion))), done);
+			this.<ConfigurationDocument>call(this.knownEra.unboundQuery(), CALL_MS, (answer) -> answer
+				.send(new StoreReply.Found<>(document(SimulatedStore.this.state.configurationVersion))), done);
 		}
 
 		@Override
@@ -239,26 +242,26 @@
 
 		@Override
 		public void listUpstreams(Consumer<StoreReply<UpstreamListing>> done) {
-			this.<UpstreamListing>call(this.heard.unboundQuery(), CALL_MS, (answer) -> {
+			this.<UpstreamListing>call(this.knownEra.unboundQuery(), CALL_MS, (answer) -> {
 				State now = SimulatedStore.this.state;
-				answer.give(new StoreReply.Found<>(new UpstreamListing(List.copyOf(now.upstreams.values()),
+				answer.send(new StoreReply.Found<>(new UpstreamListing(List.copyOf(now.upstreams.values()),
 						new StoreVersion(SimulatedStore.this.era, now.revision))));
 			}, done);
 		}
 
 		@Override
 		public void watchUpstreams(StoreVersion after, long waitMs, Consumer<StoreReply<UpstreamChanges>> done) {
-			this.<UpstreamChanges>call(this.heard.boundQuery(after.era()), waitMs + CALL_MS, (answer) -> {
+			this.<UpstreamChanges>call(this.knownEra.boundQuery(after.era()), waitMs + CALL_MS, (answer) -> {
 				if (after.revision() > SimulatedStore.this.state.revision) {
-					answer.give(new StoreReply.Outdated<>());
+					answer.send(new StoreReply.Outdated<>());
 					return;
 				}
-				Wait wait = new Wait(() -> answer.give(new StoreReply.Found<>(changes(after))));
-				SimulatedStore.this.waits.add(wait);
+				Watch watch = new Watch(() -> answer.send(new StoreReply.Found<>(changes(after))));
+				SimulatedStore.this.watches.add(watch);
 				if (changes(after).size() > 0) {
-					wait.end();
+					watch.end();
 				}
-				later(waitMs, wait::end);
+				later(waitMs, watch::end);
 			}, done);
 		}
 
@@ -282,24 +285,24 @@
 
 		@Override
 		public void readLease(Consumer<StoreReply<LeaseObject>> done) {
-			this.<LeaseObject>call(this.heard.unboundQuery(), LEASE_CALL_MS, (answer) -> {
+			this.<LeaseObject>call(this.knownEra.unboundQuery(), LEASE_CALL_MS, (answer) -> {
 				Lease lease = SimulatedStore.this.state.lease;
-				answer.give((lease != null) ? new StoreReply.Found<>(object(lease)) : new StoreReply.Absent<>());
+				answer.send((lease != null) ? new StoreReply.Found<>(object(lease)) : new StoreReply.Absent<>());
 			}, done);
 		}
 
 		@Override
 		public void writeLease(LeaseObject lease, Consumer<StoreReply<LeaseObject>> done) {
-			this.<LeaseObject>call(this.heard.boundQuery(lease.version().era()), LEASE_CALL_MS, (answer) -> {
+			this.<LeaseObject>call(this.knownEra.boundQuery(lease.version().era()), LEASE_CALL_MS, (answer) -> {
 				State now = SimulatedStore.this.state;
-				long standing = (now.lease != null) ? now.lease.revision : 0;
-				if (standing != lease.version().revision()) {
-					answer.give(new StoreReply.Outdated<>());
+				long currentRevision = (now.lease != null) ? now.lease.revision : 0;
+				if (currentRevision != lease.version().revision()) {
+					answer.send(new StoreReply.Outdated<>());
 					return;
 				}
 				Lease written = new Lease(lease.holder(), lease.fencing(), lease.nonce(), now.revision + 1);
 				write(new State(now.revision + 1, now.upstreams, now.configurationVersion, written));
-				answer.give(new StoreReply.Found<>(object(written)));
+				answer.send(new StoreReply.Found<>(object(written)));
 			}, done);
 		}
 
@@ -325,10 +328,10 @@
 
 	}
 
-	/** Gives a reply on its way. */
+	/** Sends a reply. */
 	private interface Answer<T> {
 
-		void give(StoreReply<T> reply);
+		void send(StoreReply<T> reply);
 
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreEraTests.java
@@ -5,94 +5,95 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What an answer of the store is worth by the era that it is of.
+ * Tests the validation of replies of the store by their era.
  */
 class StoreEraTests {
 
 	private final StoreEra era = new StoreEra();
 
-	private int returns;
+	private int restores;
 
 	StoreEraTests() {
-		this.era.onRestore(() -> this.returns++);
+		this.era.onRestore(() -> this.restores++);
 	}
 
 	@Test
-	void theFirstEraThatIsHeardIsNoReturn() {
-		assertThat(answer(this.era.unboundQuery(), 7)).isEqualTo(found());
+	void theFirstEraIsNoRestore() {
+		assertThat(reply(this.era.unboundQuery(), 7)).isEqualTo(found());
 
 		assertThat(this.era.current()).isEqualTo(7);
-		assertThat(this.returns).isZero();
+		assertThat(this.restores).isZero();
 	}
 
 	@Test
-	void eachLaterEraIsToldOnce() {
-		answer(this.era.unboundQuery(), 1);
-		answer(this.era.unboundQuery(), 2);
-		answer(this.era.unboundQuery(), 2);
+	void eachLaterEraIsAnnouncedOnce() {
+		reply(this.era.unboundQuery(), 1);
+		reply(this.era.unboundQuery(), 2);
+		reply(this.era.unboundQuery(), 2);
 		this.era.eraReceived(2);
 		this.era.eraReceived(4);
-		answer(this.era.unboundQuery(), 4);
+		reply(this.era.unboundQuery(), 4);
 
 		assertThat(this.era.current()).isEqualTo(4);
-		assertThat(this.returns).isEqualTo(2);
+		assertThat(this.restores).isEqualTo(2);
 	}
 
-	// A message names an era that never was, and every answer of the store would count as
-	// one of an earlier era from then on.
+	// A message names an era that never existed; every reply of the store would be
+	// rejected as one of an earlier era from then on.
 	@Test
-	void answersAreJudgedByWhatTheStoreSaysItself() {
-		answer(this.era.unboundQuery(), 1);
+	void repliesAreValidatedByTheErasThatTheStoreNames() {
+		reply(this.era.unboundQuery(), 1);
 		this.era.eraReceived(Long.MAX_VALUE);
 
-		assertThat(answer(this.era.unboundQuery(), 1)).isEqualTo(found());
+		assertThat(reply(this.era.unboundQuery(), 1)).isEqualTo(found());
 		assertThat(this.era.current()).isEqualTo(1);
 	}
 
-	// A watch goes on over a gap: the store has given the revision out again, and answers
-	// as if nothing had happened.
+	// A watch would continue across a gap: the restored store has assigned the revision
+	// again and answers as if nothing had happened.
 	@Test
-	void anAnswerToAQuestionThatNamesARevisionOfAnEarlierEraIsOutdated() {
-		answer(this.era.unboundQuery(), 1);
+	void aReplyToAQueryBoundToAnEarlierEraIsOutdated() {
+		reply(this.era.unboundQuery(), 1);
 
-		assertThat(answer(this.era.boundQuery(1), 2)).isEqualTo(new StoreReply.Outdated<>());
+		assertThat(reply(this.era.boundQuery(1), 2)).isEqualTo(new StoreReply.Outdated<>());
 	}
 
-	// An answer that was held up on its way tells of what the store has lost since.
+	// A delayed reply describes state that the store has lost since.
 	@Test
-	void anAnswerOfAnEarlierEraIsPassedOver() {
-		StoreEra.Query question = this.era.unboundQuery();
-		answer(question, 1);
-		answer(question, 2);
+	void aReplyOfAnEarlierEraIsRejected() {
+		StoreEra.Query query = this.era.unboundQuery();
+		reply(query, 1);
+		reply(query, 2);
 
-		assertThat(answer(question, 1)).isInstanceOf(StoreReply.Unavailable.class);
+		assertThat(reply(query, 1)).isInstanceOf(StoreReply.Unavailable.class);
 		assertThat(this.era.current()).isEqualTo(2);
-		assertThat(this.returns).isEqualTo(1);
+		assertThat(this.restores).isEqualTo(1);
 	}
 
 	@Test
-	void anAnswerThatSaysNoEraChangesNothing() {
-		assertThat(answer(this.era.unboundQuery(), StoreEra.UNSPECIFIED)).isEqualTo(found());
+	void aReplyWithoutAnEraDoesNotChangeTheEra() {
+		assertThat(reply(this.era.unboundQuery(), StoreEra.UNSPECIFIED)).isEqualTo(found());
 		assertThat(this.era.known()).isFalse();
 
 		StoreEra.Query before = this.era.unboundQuery();
-		answer(this.era.unboundQuery(), 3);
+		reply(this.era.unboundQuery(), 3);
 		StoreEra.Query now = this.era.unboundQuery();
-		assertThat(answer(now, StoreEra.UNSPECIFIED)).isEqualTo(found());
-		assertThat(answer(before, StoreEra.UNSPECIFIED)).isInstanceOf(StoreReply.Unavailable.class);
+		assertThat(reply(now, StoreEra.UNSPECIFIED)).isEqualTo(found());
+		assertThat(reply(before, StoreEra.UNSPECIFIED)).isInstanceOf(StoreReply.Unavailable.class);
 		assertThat(this.era.current()).isEqualTo(3);
 	}
 
-	// Whoever reaches the routers' port could name an era before the store has said one.
+	// Any sender that reaches the peer port could name an era before the store has named
+	// one.
 	@Test
-	void otherRoutersAreHeardOnlyOnceTheStoreHasSaidAnEra() {
+	void erasFromPeersAreIgnoredUntilTheStoreHasNamedOne() {
 		this.era.eraReceived(9);
 
 		assertThat(this.era.current()).isZero();
 	}
 
-	private StoreReply<String> answer(StoreEra.Query question, long saidEra) {
-		return this.era.validate(question, saidEra, found());
+	private StoreReply<String> reply(StoreEra.Query query, long namedEra) {
+		return this.era.validate(query, namedEra, found());
 	}
 
 	private static StoreReply<String> found() {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -19,9 +19,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Three routers in simulated time before a store that comes back from older copies of
- * itself, with calls and answers that are late or lost, routers that are cut off and
- * start again, an operator and upstreams that write again what was lost.
+ * Runs three routers in simulated time against a store that is restored from older copies
+ * of itself. Calls and replies are delayed or lost, routers are partitioned and
+ * restarted, and an operator and the upstreams write again what was lost.
  */
 class StoreRollbackModelTests {
 
@@ -29,25 +29,28 @@
 
 	private static final long TICK_MS = 10;
 
-	private static final long TROUBLE_MS = 20_000;
+	private static final long FAULTS_MS = 20_000;
 
 	private static final long END_MS = 32_000;
 
 	private static final long DRAIN_MS = 2000;
 
-	/** After how long a key that was taken away must not work. */
+	/** Time after which a revoked key must not work. */
 	private static final long KEYS_MS = 5000;
 
-	/** The age up to which a proof is good for keys. */
+	/** Age up to which a proof is valid for keys. */
 	private static final long PROOF_MS = 4400;
 
 	private static final long IN_FORCE_MS = 2000;
 
-	/** Within what time operator and upstreams write again after a return. */
-	private static final int MOST_WRITTEN_AGAIN_MS = 1500;
+	/** Time within which the operator and the upstreams write again after a restore. */
+	private static final int REWRITE_PERIOD_MS = 1500;
 
-	/** Between two returns operator and upstreams have had the time to write again. */
-	private static final long RETURN_PAUSE_MS = 4000;
+	/**
+	 * Minimum time between two restores; the operator and the upstreams have written
+	 * again by then.
+	 */
+	private static final long RESTORE_INTERVAL_MS = 4000;
 
 	private Random random;
 
@@ -55,61 +58,61 @@
 
 	private final List<Member> members = new ArrayList<>();
 
-	private final Map<Long, Integer> lifeByAcceptedNumber = new HashMap<>();
+	private final Map<Long, Integer> incarnationByAcceptedNumber = new HashMap<>();
 
-	private final Map<String, Upstream> newestWords = new TreeMap<>();
+	private final Map<String, Upstream> newestEntries = new TreeMap<>();
 
-	/** When an upstream said that it leaves, for as long as the store knows. */
+	/** When each upstream announced that it leaves, unless the store has lost it. */
 	private final Map<String, Long> leftAtMs = new HashMap<>();
 
 	private long highestNumber;
 
 	private long newestConfiguration = 1;
 
-	/** When each version of the configuration was acknowledged first. */
+	/** When each version of the configuration was first acknowledged. */
 	private final Map<Long, Long> ackedAtMs = new HashMap<>();
 
-	private int lives;
+	private int incarnations;
 
-	private long nextReturnMs;
+	private long nextRestoreMs;
 
 	@Property(tries = 200, seed = "20261203")
-	void nothingIsPromisedThatTheStoreHasLost(@ForAll long seed) {
-		play(seed);
+	void noGuaranteeIsBrokenByARollbackOfTheStore(@ForAll long seed) {
+		simulate(seed);
 
-		assertThat(this.store.upstreams()).isEqualTo(this.newestWords);
+		assertThat(this.store.upstreams()).isEqualTo(this.newestEntries);
 		assertThat(this.members).allSatisfy((member) -> {
 			assertThat(member.era.current()).isEqualTo(this.store.era());
 			assertThat(member.configuration.configuration().version()).isEqualTo(this.newestConfiguration);
 			assertThat(member.proof.honoursKeys(this.store.nowMs())).isTrue();
-			assertThat(member.directory.size()).isEqualTo(this.newestWords.size());
-			this.newestWords.forEach((id, word) -> assertThat(member.directory.findByName(id)).isEqualTo(word));
+			assertThat(member.directory.size()).isEqualTo(this.newestEntries.size());
+			this.newestEntries.forEach((id, entry) -> assertThat(member.directory.findByName(id)).isEqualTo(entry));
 			assertThat(member.list.state().ageMs()).isLessThan(DRAIN_MS);
 		});
 		assertThat(this.members.stream().filter((member) -> member.leadership.holds())).hasSize(1);
 	}
 
-	private void play(long seed) {
+	private void simulate(long seed) {
 		this.random = new Random(seed);
 		this.store = new SimulatedStore(this.random, this::configurationOf);
 		this.members.clear();
-		this.lifeByAcceptedNumber.clear();
-		this.newestWords.clear();
+		this.incarnationByAcceptedNumber.clear();
+		this.newestEntries.clear();
 		this.leftAtMs.clear();
 		this.highestNumber = 0;
 		this.newestConfiguration = 1;
 		this.ackedAtMs.clear();
-		this.lives = 0;
-		this.nextReturnMs = 0;
+		this.incarnations = 0;
+		this.nextRestoreMs = 0;
 		for (String id : List.of("a", "b", "c")) {
-			say(upstream(id, false));
+			register(upstream(id, false));
 		}
 		for (int index = 0; index < ROUTERS; index++) {
 			this.members.add(new Member(index));
 		}
 		for (long nowMs = TICK_MS; nowMs < END_MS; nowMs += TICK_MS) {
-			if (nowMs < TROUBLE_MS) {
-				trouble();
+			if (nowMs < FAULTS_MS) {
+				injectFaults();
 			}
 			else {
 				this.store.calm();
@@ -132,62 +135,63 @@
 		return new StoreReply.Unavailable<>("no configuration");
 	}
 
-	private void trouble() {
-		if (this.store.away()) {
+	private void injectFaults() {
+		if (this.store.unavailable()) {
 			return;
 		}
-		if (once(3000)) {
+		if (occurs(3000)) {
 			this.newestConfiguration++;
 			this.ackedAtMs.put(this.newestConfiguration, this.store.nowMs());
 			this.store.configure(this.newestConfiguration);
 		}
-		if (once(3000)) {
-			say(upstream("d" + this.newestWords.size(), false));
+		if (occurs(3000)) {
+			register(upstream("d" + this.newestEntries.size(), false));
 		}
-		if (once(4000)) {
-			List<String> ids = List.copyOf(this.newestWords.keySet());
-			say(upstream(ids.get(this.random.nextInt(ids.size())), true));
+		if (occurs(4000)) {
+			List<String> ids = List.copyOf(this.newestEntries.keySet());
+			register(upstream(ids.get(this.random.nextInt(ids.size())), true));
 		}
-		if (once(6000)) {
-			this.members.get(this.random.nextInt(ROUTERS)).cutUntilMs = this.store.nowMs() + this.random.nextInt(3000);
+		if (occurs(6000)) {
+			this.members.get(this.random.nextInt(ROUTERS)).partitionedUntilMs = this.store.nowMs()
+					+ this.random.nextInt(3000);
 		}
-		if (once(8000)) {
+		if (occurs(8000)) {
 			int index = this.random.nextInt(ROUTERS);
 			this.members.get(index).channel.close();
 			this.members.set(index, new Member(index));
 		}
-		if (this.store.nowMs() >= this.nextReturnMs && once(2000)) {
-			this.nextReturnMs = this.store.nowMs() + RETURN_PAUSE_MS;
-			returnFromCopy();
+		if (this.store.nowMs() >= this.nextRestoreMs && occurs(2000)) {
+			this.nextRestoreMs = this.store.nowMs() + RESTORE_INTERVAL_MS;
+			restoreFromCopy();
 		}
 	}
 
-	private boolean once(long meanMs) {
+	private boolean occurs(long meanMs) {
 		return this.random.nextInt((int) (meanMs / TICK_MS)) == 0;
 	}
 
-	private void returnFromCopy() {
-		int awayMs = this.random.nextInt(500);
-		this.store.comeBack(this.random.nextInt(12), awayMs);
+	private void restoreFromCopy() {
+		int unavailableMs = this.random.nextInt(500);
+		this.store.restore(this.random.nextInt(12), unavailableMs);
 		this.leftAtMs.clear();
 		long version = this.newestConfiguration;
-		this.store.later(awayMs + this.random.nextInt(MOST_WRITTEN_AGAIN_MS), () -> {
-			if (!this.store.away() && this.store.configurationVersion() < version) {
+		this.store.later(unavailableMs + this.random.nextInt(REWRITE_PERIOD_MS), () -> {
+			if (!this.store.unavailable() && this.store.configurationVersion() < version) {
 				this.store.configure(version);
 			}
 		});
-		for (String id : this.newestWords.keySet()) {
-			this.store.later(awayMs + this.random.nextInt(MOST_WRITTEN_AGAIN_MS), () -> {
-				Upstream word = this.newestWords.get(id);
-				if (!this.store.away() && !word.equals(this.store.upstreams().get(id))) {
-					this.store.list(word);
+		for (String id : this.newestEntries.keySet()) {
+			this.store.later(unavailableMs + this.random.nextInt(REWRITE_PERIOD_MS), () -> {
+				Upstream entry = this.newestEntries.get(id);
+				if (!this.store.unavailable() && !entry.equals(this.store.upstreams().get(id))) {
+					this.store.list(entry);
 				}
 			});
 		}
 	}
 
-	private void say(Upstream upstream) {
-		this.newestWords.put(upstream.id(), upstream);
+	private void register(Upstream upstream) {
+		this.newestEntries.put(upstream.id(), upstream);
 		this.store.list(upstream);
 		if (upstream.leaving()) {
 			this.leftAtMs.putIfAbsent(upstream.id(), this.store.nowMs());
@@ -202,32 +206,32 @@
 		long nowMs = this.store.nowMs();
 		long nextAckedAtMs = this.ackedAtMs.getOrDefault(member.version() + 1, nowMs);
 		assertThat(member.version() >= 0 && member.proof.honoursKeys(nowMs) && nowMs - nextAckedAtMs > KEYS_MS)
-			.as("a key that was taken away is served")
+			.as("a revoked key is served")
 			.isFalse();
 		if (member.list.listed()) {
 			this.leftAtMs.forEach((id, atMs) -> {
 				Upstream known = member.directory.findByName(id);
 				boolean hidden = known != null && !known.leaving();
 				assertThat(hidden && atMs < nowMs - member.list.state().ageMs())
-					.as("a list is proved that misses a change")
+					.as("a list that lacks a change is proved")
 					.isFalse();
 			});
 		}
 	}
 
-	private void accept(long number, int life) {
+	private void accept(long number, int incarnation) {
 		if (number >= this.highestNumber) {
 			this.highestNumber = number;
-			assertThat(this.lifeByAcceptedNumber.computeIfAbsent(number, (ignored) -> life))
-				.as("the router that orders under one number")
-				.isEqualTo(life);
+			assertThat(this.incarnationByAcceptedNumber.computeIfAbsent(number, (ignored) -> incarnation))
+				.as("the router that issues orders under one number")
+				.isEqualTo(incarnation);
 		}
 	}
 
-	/** One router, in one life. */
+	/** One incarnation of a router. */
 	private final class Member {
 
-		private final int life = StoreRollbackModelTests.this.lives++;
+		private final int incarnation = StoreRollbackModelTests.this.incarnations++;
 
 		private final String address;
 
@@ -248,22 +252,22 @@
 
 		private final Leadership leadership;
 
-		private long cutUntilMs;
+		private long partitionedUntilMs;
 
-		private long nextTalkMs;
+		private long nextStatusMs;
 
 		private Member(int index) {
 			this.address = "10.0.0." + (index + 1) + ":1";
 			this.channel.freezeTime();
 			this.peers = new PeerTable(this.address, StoreRollbackModelTests.this.random);
-			FleetStore seen = StoreRollbackModelTests.this.store.seenBy(() -> !cut(), this.era);
+			FleetStore seen = StoreRollbackModelTests.this.store.seenBy(() -> !partitioned(), this.era);
 			this.configuration = new ConfigurationSynchronizer(this.channel.eventLoop(), seen, this.proof,
-					StoreRollbackModelTests.this.store::nowMs, IN_FORCE_MS, this::waits, () -> {
+					StoreRollbackModelTests.this.store::nowMs, IN_FORCE_MS, this::watching, () -> {
 					}, this.era, StoreRollbackModelTests.this.random);
 			this.leadership = new Leadership(this.channel.eventLoop(), seen, "r" + index, new Clock(),
 					() -> this.peers.hasLeader(StoreRollbackModelTests.this.store.nowMs()));
-			this.list = new DirectorySynchronizer(context(), seen, new Talk(), () -> this.leadership.holds(), DRAIN_MS,
-					StoreRollbackModelTests.this.random);
+			this.list = new DirectorySynchronizer(context(), seen, new PeerRequests(), () -> this.leadership.holds(),
+					DRAIN_MS, StoreRollbackModelTests.this.random);
 			this.era.onRestore(() -> {
 				this.leadership.storeReturned();
 				this.configuration.storeRestored();
@@ -275,12 +279,12 @@
 			this.configuration.peersQueried(ROUTERS - 1);
 		}
 
-		private boolean waits() {
+		private boolean watching() {
 			return this.list.state().watching();
 		}
 
-		private boolean cut() {
-			return StoreRollbackModelTests.this.store.nowMs() < this.cutUntilMs;
+		private boolean partitioned() {
+			return StoreRollbackModelTests.this.store.nowMs() < this.partitionedUntilMs;
 		}
 
 		private RouterContext context() {
@@ -296,19 +300,19 @@
 			this.channel.runScheduledPendingTasks();
 			this.channel.runPendingTasks();
 			long nowMs = StoreRollbackModelTests.this.store.nowMs();
-			if (nowMs >= this.nextTalkMs) {
-				this.nextTalkMs = nowMs + PeerLink.PERIOD_MS;
-				StoreRollbackModelTests.this.members.forEach(this::hear);
+			if (nowMs >= this.nextStatusMs) {
+				this.nextStatusMs = nowMs + PeerLink.PERIOD_MS;
+				StoreRollbackModelTests.this.members.forEach(this::receive);
 			}
-			if (this.leadership.holds() && once(200)) {
+			if (this.leadership.holds() && occurs(200)) {
 				long number = this.leadership.fencing();
 				StoreRollbackModelTests.this.store.later(StoreRollbackModelTests.this.random.nextInt(1500),
-						() -> accept(number, this.life));
+						() -> accept(number, this.incarnation));
 			}
 		}
 
-		// What a question and its answer do, without the time that they take.
-		private void hear(Member other) {
+		// Has the effect of a query and its response, without their duration.
+		private void receive(Member other) {
 			if (other == this || StoreRollbackModelTests.this.random.nextInt(20) == 0) {
 				return;
 			}
@@ -325,14 +329,15 @@
 					other.list.state(), other.era.current(), other.configuration.restoreAgeMs()), nowMs);
 			this.configuration.peerVersionReceived(version, provedAtMs, other.address);
 			UpstreamListState state = other.list.state();
-			this.list.peerStateReceived(other.address, state, (state.ageMs() < 0) ? Long.MIN_VALUE : nowMs - state.ageMs());
+			this.list.peerStateReceived(other.address, state,
+					(state.ageMs() < 0) ? Long.MIN_VALUE : nowMs - state.ageMs());
 		}
 
 		private long version() {
 			return (this.configuration.configuration() != null) ? this.configuration.configuration().version() : -1;
 		}
 
-		/** The model's time. */
+		/** The simulated time. */
 		private final class Clock implements Ticker {
 
 			@Override
@@ -347,8 +352,8 @@
 
 		}
 
-		/** What the list asks of other routers. */
-		private final class Talk implements DirectorySynchronizer.Listener {
+		/** Passes requests of the list to the other routers. */
+		private final class PeerRequests implements DirectorySynchronizer.Listener {
 
 			@Override
 			public void changed() {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/Versions.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/Versions.java
@@ -3,7 +3,7 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * Versions of a store that has never come back. Stateless.
+ * Creates versions of a store that was never restored from an older copy. Stateless.
  */
 final class Versions {
 
