--- a/whinjunction-router/src/main/java/io/whinjunction/router/RecentChanges.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RecentChanges.java
@@ -11,59 +11,65 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * The last changes of the list of upstreams, for routers that ask what they have missed.
+ * The most recent changes of the list of upstreams, for peers that request the changes
+ * that they missed.
  * <p>
- * Invariants: each entry goes on where the one before it ends, so that any run of them
- * that reaches the end is complete; at most {@link #MOST_KEPT} are kept. Confined to the
- * event loop.
+ * Invariants: each entry starts at the version at which the previous one ends, so that
+ * any run of entries up to the last one is complete; at most {@link #MAX_CHANGES_KEPT}
+ * entries are kept. Confined to the event loop.
  */
 final class RecentChanges {
 
-	/** Changes that are kept: those of several seconds in which each is noticed alone. */
-	private static final int MOST_KEPT = 32;
+	/**
+	 * Number of entries kept: enough for several seconds in which every change is read on
+	 * its own.
+	 */
+	private static final int MAX_CHANGES_KEPT = 32;
 
-	/** Bounds a datagram: upstreams and names in one answer. */
+	/**
+	 * Maximum number of upstreams and names in one answer; bounds the size of a datagram.
+	 */
 	static final int MAX_PER_ANSWER = 40;
 
 	private final Deque<UpstreamChanges> kept = new ArrayDeque<>();
 
 	/**
-	 * Notes changes that have just been applied.
+	 * Records changes that have just been applied.
 	 * @param changes the changes
-	 * @param heldBefore the version of the list before them
+	 * @param previousVersion the version of the list before them
 	 */
-	void add(UpstreamChanges changes, StoreVersion heldBefore) {
-		if (!this.kept.isEmpty() && !this.kept.getLast().version().equals(heldBefore)) {
+	void add(UpstreamChanges changes, StoreVersion previousVersion) {
+		if (!this.kept.isEmpty() && !this.kept.getLast().version().equals(previousVersion)) {
 			this.kept.clear();
 		}
 		this.kept.addLast(changes);
-		if (this.kept.size() > MOST_KEPT) {
+		if (this.kept.size() > MAX_CHANGES_KEPT) {
 			this.kept.removeFirst();
 		}
 	}
 
 	/**
-	 * Notes that nothing has changed.
-	 * @param heldBefore the version up to which this was known before
-	 * @param version the version up to which it is known now
+	 * Records that nothing has changed between two versions.
+	 * @param previousVersion the earlier version
+	 * @param version the later version
 	 */
-	void unchanged(StoreVersion heldBefore, StoreVersion version) {
-		if (!this.kept.isEmpty() && this.kept.getLast().version().equals(heldBefore)) {
+	void unchanged(StoreVersion previousVersion, StoreVersion version) {
+		if (!this.kept.isEmpty() && this.kept.getLast().version().equals(previousVersion)) {
 			UpstreamChanges last = this.kept.removeLast();
 			this.kept.addLast(new UpstreamChanges(last.after(), last.changed(), last.removed(), version));
 		}
 	}
 
-	/** Forgets all: the store has come back, and its changes begin anew. */
+	/** Discards all entries: the store was restored, and its history starts again. */
 	void clear() {
 		this.kept.clear();
 	}
 
 	/**
-	 * What changed after a version.
+	 * Returns what changed after a version.
 	 * @param version the version
-	 * @return all changes since, or {@link UpstreamChanges#unknownAfter} where they
-	 * aren't all kept, or are too many
+	 * @return all changes since, or {@link UpstreamChanges#unknownAfter} if some are no
+	 * longer kept or they exceed {@link #MAX_PER_ANSWER}
 	 */
 	UpstreamChanges after(StoreVersion version) {
 		if (this.kept.isEmpty() || this.kept.getFirst().after().after(version)
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamChanges.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamChanges.java
@@ -5,15 +5,15 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * All changes of the list of upstreams between two of its versions. Immutable.
+ * All changes of the list of upstreams between two versions. Immutable.
  * <p>
- * Invariant: whoever has the list as of any version from {@link #after} on has it as of
- * {@link #version} once these are applied.
+ * Invariant: applied to a list of any version from {@link #after} on, they yield the list
+ * of {@link #version}.
  *
- * @param after the earliest version that they can be applied to
- * @param changed upstreams that are new or have changed, as of {@code version}
- * @param removed names of those that are gone
- * @param version the version that they lead to
+ * @param after the earliest version to which they can be applied
+ * @param changed upstreams that were added or changed, as of {@code version}
+ * @param removed names of the upstreams that were removed
+ * @param version the version that results
  */
 public record UpstreamChanges(StoreVersion after, List<Upstream> changed, List<String> removed, StoreVersion version) {
 
@@ -23,9 +23,9 @@
 	}
 
 	/**
-	 * Says that the changes after a version have to be read from the store.
+	 * Returns a marker that the changes after a version must be read from the store.
 	 * @param version the version
-	 * @return no changes, which lead nowhere
+	 * @return empty changes that do not advance the version
 	 */
 	static UpstreamChanges unknownAfter(StoreVersion version) {
 		return new UpstreamChanges(version, List.of(), List.of(), version);
@@ -36,10 +36,10 @@
 	}
 
 	/**
-	 * Whether they bring a list on. Those that are late, doubled or don't reach back far
-	 * enough don't.
+	 * Returns whether the changes apply to a list and advance it. Outdated and duplicate
+	 * changes, and those that do not reach back to the version of the list, do not.
 	 * @param held the version of the list
-	 * @return whether they can be applied to it and say something new
+	 * @return whether they can be applied and lead to a later version
 	 */
 	boolean appliesTo(StoreVersion held) {
 		return !this.after.after(held) && this.version.after(held);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -16,26 +16,27 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * All upstreams that this process knows.
+ * Directory of all upstreams that this process knows.
  * <p>
- * The failure it is there for: an upstream crashes and starts again under its name before
- * the list shows that it was gone. What was known of it, the layers it held above all, is
- * no longer true, and an older entry that is read late would bring it back: requests go
- * to an engine that holds nothing, and orders count from the wrong number.
+ * Guards against stale state after a restart: an upstream crashes and restarts under its
+ * name before the list shows its absence. Its former state, above all the layers it held,
+ * no longer applies, and an older entry that is read late would bring that state back.
+ * Requests would then be sent to an engine that holds nothing, and orders would be
+ * numbered from a wrong number.
  * <p>
- * Invariants: of one name, only the latest start that was heard of is known; it shares
- * nothing with an earlier one. Addresses lead to whoever was listed last among the
- * upstreams of a service. Confined to the event loop.
+ * Invariants: only the latest known incarnation of each name is present, and it shares no
+ * state with an earlier one; an address resolves to the upstream of the service that was
+ * listed with it last. Confined to the event loop.
  */
 final class UpstreamDirectory {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/**
-	 * Starts that are remembered after their end: those of a crash of every engine of a
-	 * large fleet.
+	 * Number of former incarnations that are remembered: enough for a crash of every
+	 * engine of a large fleet.
 	 */
-	private static final int MOST_ENDED = 8192;
+	private static final int MAX_REMEMBERED = 8192;
 
 	private final Map<String, UpstreamState> byId = new HashMap<>();
 
@@ -43,34 +44,34 @@
 
 	private final Map<String, UpstreamState> byAddress = new HashMap<>();
 
-	private final Set<String> ended = remembered();
+	private final Set<String> superseded = boundedSet();
 
-	/** Starts whose entries were removed, the oldest in front. */
-	private final Set<String> gone = remembered();
+	/** Incarnations whose entries were removed, oldest first. */
+	private final Set<String> gone = boundedSet();
 
-	private final Consumer<Upstream> left;
+	private final Consumer<Upstream> departureListener;
 
 	/**
-	 * A directory.
-	 * @param left hears of each upstream that leaves or is gone
+	 * Creates an empty directory.
+	 * @param departureListener called with each upstream that leaves or is removed
 	 */
-	UpstreamDirectory(Consumer<Upstream> left) {
-		this.left = left;
+	UpstreamDirectory(Consumer<Upstream> departureListener) {
+		this.departureListener = departureListener;
 	}
 
-	private static Set<String> remembered() {
+	private static Set<String> boundedSet() {
 		return Collections.newSetFromMap(new LinkedHashMap<>() {
 
 			@Override
 			protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-				return size() > MOST_ENDED;
+				return size() > MAX_REMEMBERED;
 			}
 
 		});
 	}
 
 	/**
-	 * Takes a whole list; what is not in it is gone.
+	 * Replaces the content with a full list; upstreams that are not in it are removed.
 	 * @param upstreams the list
 	 */
 	void replace(List<Upstream> upstreams) {
@@ -85,10 +86,10 @@
 	}
 
 	/**
-	 * What a newer list changes.
+	 * Computes what a newer list changes.
 	 * @param listing the list
-	 * @param known the version of what is known
-	 * @return the changes from here to there
+	 * @param known the version of the current content
+	 * @return the changes from the current content to the list
 	 */
 	UpstreamChanges changesTo(UpstreamListing listing, StoreVersion known) {
 		Set<String> gone = new HashSet<>(this.byId.keySet());
@@ -104,8 +105,8 @@
 	}
 
 	/**
-	 * An upstream as it is known.
-	 * @param id its name
+	 * Finds an upstream by name.
+	 * @param id the name
 	 * @return the upstream, or {@code null}
 	 */
 	Upstream findByName(String id) {
@@ -114,16 +115,16 @@
 	}
 
 	/**
-	 * Whether an upstream was listed once and has gone.
-	 * @param incarnation its start
-	 * @return whether it isn't there any more, as far as is remembered
+	 * Returns whether an incarnation was listed before and has been removed.
+	 * @param incarnation the incarnation
+	 * @return whether it was removed, as far as it is remembered
 	 */
 	boolean gone(String incarnation) {
 		return this.gone.contains(incarnation);
 	}
 
 	/**
-	 * Takes changes.
+	 * Applies changes.
 	 * @param changes the changes
 	 */
 	void apply(UpstreamChanges changes) {
@@ -142,11 +143,11 @@
 				.log("event=upstream-outdated upstream=%s known=%s", listed.incarnation(), known.incarnation());
 			return;
 		}
-		// An entry that doesn't say when it started tells of the start that is known.
+		// An entry without a start time is taken for the known incarnation.
 		Upstream upstream = (listed.bornMs() == Upstream.BORN_UNKNOWN) ? listed.bornAt(known.upstream().bornMs())
 				: listed;
 		if (!upstream.incarnation().equals(known.incarnation())) {
-			end(known, upstream);
+			supersede(known, upstream);
 			add(upstream);
 			return;
 		}
@@ -167,16 +168,16 @@
 		state.update(newer);
 		this.byAddress.put(addressKey(newer), state);
 		if (leftNow) {
-			this.left.accept(newer);
+			this.departureListener.accept(newer);
 		}
 	}
 
-	private void end(UpstreamState state, Upstream newer) {
+	private void supersede(UpstreamState state, Upstream newer) {
 		Upstream before = state.upstream();
 		logger.atWarning()
 			.log("event=upstream-restarted upstream=%s before=%s held=%s", newer.incarnation(), before.incarnation(),
 					before.held());
-		this.ended.add(before.incarnation());
+		this.superseded.add(before.incarnation());
 		remove(before.id());
 	}
 
@@ -186,58 +187,58 @@
 			this.gone.add(state.incarnation());
 			this.byIncarnation.remove(state.incarnation());
 			this.byAddress.remove(addressKey(state.upstream()), state);
-			this.left.accept(state.upstream());
+			this.departureListener.accept(state.upstream());
 		}
 	}
 
 	/**
-	 * Compares a report with the upstream that was asked, and learns of a new start where
-	 * the report is the first to tell.
-	 * @param asked the upstream as it was when it was asked
-	 * @param report what was answered
-	 * @return whether the report tells of the start that was asked
+	 * Compares the incarnation in a report with the one that was queried, and adds a new
+	 * incarnation if the report is the first sign of it.
+	 * @param queried the upstream as of the query
+	 * @param report the report
+	 * @return whether the report belongs to the incarnation that was queried
 	 */
-	boolean confirmIncarnation(Upstream asked, EngineReport report) {
-		if (report.bornMs() == asked.bornMs() || report.bornMs() == Upstream.BORN_UNKNOWN
-				|| asked.bornMs() == Upstream.BORN_UNKNOWN) {
+	boolean confirmIncarnation(Upstream queried, EngineReport report) {
+		if (report.bornMs() == queried.bornMs() || report.bornMs() == Upstream.BORN_UNKNOWN
+				|| queried.bornMs() == Upstream.BORN_UNKNOWN) {
 			return true;
 		}
-		Upstream answering = asked.restarted(report.bornMs(), report.held());
-		if (answering.bornAfter(asked.bornMs()) && this.byIncarnation.containsKey(asked.incarnation())) {
-			put(answering);
+		Upstream reported = queried.restarted(report.bornMs(), report.held());
+		if (reported.bornAfter(queried.bornMs()) && this.byIncarnation.containsKey(queried.incarnation())) {
+			put(reported);
 		}
 		return false;
 	}
 
 	/**
-	 * Whether an upstream has started again since.
-	 * @param incarnation the start that is asked about
-	 * @return whether a later start under the same name was heard of
+	 * Returns whether an upstream has restarted since an incarnation.
+	 * @param incarnation the incarnation
+	 * @return whether a later incarnation of the same name is known
 	 */
 	boolean superseded(String incarnation) {
-		return this.ended.contains(incarnation);
+		return this.superseded.contains(incarnation);
 	}
 
 	/**
-	 * Whether any upstream has started again under its name.
-	 * @return whether {@link #superseded} may hold for any
+	 * Returns whether any upstream has restarted under its name.
+	 * @return whether {@link #superseded} may hold for any incarnation
 	 */
 	boolean anySuperseded() {
-		return !this.ended.isEmpty();
+		return !this.superseded.isEmpty();
 	}
 
 	/**
-	 * An upstream by its incarnation.
+	 * Finds an upstream by incarnation.
 	 * @param incarnation the incarnation
-	 * @return its state, or {@code null} where it is gone or has started again
+	 * @return its state, or {@code null} if it is gone or has restarted
 	 */
 	UpstreamState find(String incarnation) {
 		return this.byIncarnation.get(incarnation);
 	}
 
 	/**
-	 * An upstream by address.
-	 * @param service its service: an entry of a service that nobody calls may name the
+	 * Finds an upstream by service and address.
+	 * @param service the service; an entry of a service that nobody calls may name the
 	 * same address
 	 * @param address the address
 	 * @return its state, or {@code null}
@@ -255,24 +256,25 @@
 	}
 
 	/**
-	 * The upstreams of a service that stay.
+	 * Returns the upstreams of a service that are not leaving.
 	 * @param service the service
 	 * @return their states
 	 */
 	Collection<UpstreamState> active(String service) {
-		List<UpstreamState> staying = new ArrayList<>();
+		List<UpstreamState> active = new ArrayList<>();
 		for (UpstreamState state : this.byId.values()) {
 			if (state.upstream().service().equals(service) && !state.upstream().leaving()) {
-				staying.add(state);
+				active.add(state);
 			}
 		}
-		return staying;
+		return active;
 	}
 
 	/**
-	 * Memory of this process's requests at the engines where it is most.
-	 * @param most how many engines
-	 * @return tokens times layers, by the engine's incarnation
+	 * Returns how much engine memory the requests of this process occupy, for the engines
+	 * with the most.
+	 * @param most the maximum number of engines
+	 * @return tokens times layers, by the incarnation of the engine
 	 */
 	Map<String, Long> busiest(int most) {
 		List<UpstreamState> busy = new ArrayList<>();
@@ -293,7 +295,7 @@
 	}
 
 	/**
-	 * How many upstreams are known.
+	 * Returns the number of upstreams.
 	 * @return the number
 	 */
 	int size() {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/RecentChangesTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/RecentChangesTests.java
@@ -9,14 +9,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a router can tell another of the list of upstreams.
+ * Tests which changes of the list of upstreams a router can send to a peer.
  */
 class RecentChangesTests {
 
 	private final RecentChanges recent = new RecentChanges();
 
 	@Test
-	void changesAreToldFromAnyRevisionThatTheyReachBackTo() {
+	void changesAreAvailableFromAnyRevisionThatTheyReachBackTo() {
 		add(10, 12, List.of(upstream("a", 1)), List.of());
 		add(12, 15, List.of(upstream("a", 2)), List.of("b"));
 
@@ -27,7 +27,7 @@
 	}
 
 	@Test
-	void anUpstreamThatCameAndWentIsToldAsGone() {
+	void anUpstreamThatWasAddedAndRemovedIsReportedAsRemoved() {
 		add(10, 12, List.of(upstream("a", 1)), List.of());
 		add(12, 13, List.of(), List.of("a"));
 		add(13, 14, List.of(upstream("c", 1)), List.of());
@@ -36,10 +36,11 @@
 		assertThat(this.recent.after(Versions.v(10)).changed()).containsExactly(upstream("c", 1));
 	}
 
-	// A router misses a change for good: it asks another one that has begun later, takes
-	// the changes since then for all, and goes on from their revision.
+	// A router would miss a change permanently: it requests changes from a peer that
+	// started later, takes the changes since then for all of them, and continues from
+	// their revision.
 	@Test
-	void whatIsNotKnownWholeIsNotTold() {
+	void incompleteChangesAreNotSent() {
 		add(10, 12, List.of(upstream("a", 1)), List.of());
 
 		assertThat(this.recent.after(Versions.v(9))).isEqualTo(UpstreamChanges.unknownAfter(Versions.v(9)));
@@ -51,14 +52,14 @@
 	}
 
 	@Test
-	void whatIsTooMuchForADatagramIsNotTold() {
+	void changesTooLargeForADatagramAreNotSent() {
 		add(10, 12, IntStream.range(0, 41).mapToObj((index) -> upstream("u" + index, 1)).toList(), List.of());
 
 		assertThat(this.recent.after(Versions.v(10))).isEqualTo(UpstreamChanges.unknownAfter(Versions.v(10)));
 	}
 
 	@Test
-	void aTimeWithoutChangesIsPassedOnWithTheLastOnes() {
+	void aLaterRevisionWithoutChangesExtendsTheLastChanges() {
 		add(10, 12, List.of(upstream("a", 1)), List.of());
 		this.recent.unchanged(Versions.v(12), Versions.v(30));
 
@@ -66,7 +67,7 @@
 	}
 
 	@Test
-	void noMoreThanTheLastChangesAreKept() {
+	void onlyTheMostRecentChangesAreKept() {
 		for (int revision = 0; revision < 1000; revision++) {
 			add(revision, revision + 1, List.of(upstream("a", revision)), List.of());
 		}
@@ -75,10 +76,10 @@
 		assertThat(this.recent.after(Versions.v(990)).version()).isEqualTo(Versions.v(1000));
 	}
 
-	// A change is applied twice, or a later one is undone by one that was under way for
-	// long: only what goes on from the list that is held extends it.
+	// A change would be applied twice, or a later one undone by one that was delayed.
+	// Only changes that continue the current list apply to it.
 	@Test
-	void changesThatAreLateDoubledOrDoNotReachBackExtendNothing() {
+	void lateDuplicateOrIncompleteChangesDoNotApply() {
 		UpstreamChanges changes = new UpstreamChanges(Versions.v(10), List.of(), List.of("a"), Versions.v(12));
 
 		assertThat(changes.appliesTo(Versions.v(10))).isTrue();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamDirectoryTests.java
@@ -9,7 +9,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The upstreams that a router knows.
+ * Tests the directory of upstreams.
  */
 class UpstreamDirectoryTests {
 
@@ -18,7 +18,7 @@
 	private final UpstreamDirectory directory = new UpstreamDirectory((upstream) -> this.left.add(upstream.id()));
 
 	@Test
-	void whatIsNoLongerListedIsGone() {
+	void anUpstreamThatIsNoLongerListedIsRemoved() {
 		this.directory.replace(List.of(upstream("1", "a:1", false), upstream("2", "a:2", false)));
 		this.directory.replace(List.of(upstream("2", "a:2", false)));
 
@@ -27,7 +27,7 @@
 	}
 
 	@Test
-	void aLeavingUpstreamIsToldOfOnceAndTakesNothingNew() {
+	void aLeavingUpstreamIsReportedOnceAndIsNoLongerActive() {
 		this.directory.replace(List.of(upstream("1", "a:1", false)));
 		this.directory
 			.apply(new UpstreamChanges(Versions.v(1), List.of(upstream("1", "a:1", true)), List.of(), Versions.v(2)));
@@ -38,10 +38,11 @@
 		assertThat(this.left).containsExactly("1");
 	}
 
-	// A request reaches a service that it must never reach: the address of a server that
-	// is gone was given to another service's. Addresses lead to whoever was listed last.
+	// A request would reach a service that it must never reach: the address of a removed
+	// server was assigned to a server of another service. An address resolves to the
+	// upstream that was listed with it last.
 	@Test
-	void anAddressThatIsUsedAgainLeadsToItsNewOwner() {
+	void aReusedAddressResolvesToItsNewOwner() {
 		this.directory.replace(List.of(upstream("1", "a:1", false)));
 		this.directory.apply(
 				new UpstreamChanges(Versions.v(1), List.of(upstream("2", "a:1", false)), List.of("1"), Versions.v(2)));
@@ -49,11 +50,12 @@
 		assertThat(this.directory.findByAddress("s", "a:1").upstream().id()).isEqualTo("2");
 	}
 
-	// Drafts are sent to an engine that holds nothing, one after the other: it crashed
-	// and started again under its name before the list showed that it was gone, and its
-	// room, suspicions and connections were still those of before.
+	// Drafts would be sent to an engine that holds nothing, one after the other: it
+	// crashed and restarted under its name before the list showed its absence, and its
+	// recorded capacity, suspicions and connections were still those of the earlier
+	// incarnation.
 	@Test
-	void anEngineThatStartsAgainUnderItsNameSharesNothingWithItsEarlierStart() {
+	void anEngineRestartedUnderItsNameSharesNoStateWithItsEarlierIncarnation() {
 		this.directory.replace(List.of(engine(1_000, new LayerRange(0, 40))));
 		UpstreamState before = this.directory.find("e@1000");
 		before.began(10);
@@ -73,10 +75,11 @@
 		assertThat(this.directory.findByAddress("s", "a:1")).isSameAs(after);
 	}
 
-	// The new start is forgotten again, and with it the layers that it was ordered to
-	// hold: an entry that its earlier start wrote comes after the later one's.
+	// The new incarnation would be dropped, and with it the layers that it was ordered to
+	// hold: an entry written by the earlier incarnation arrives after that of the later
+	// one.
 	@Test
-	void anEntryOfAnEarlierStartThatComesLaterChangesNothing() {
+	void aLateEntryOfAnEarlierIncarnationIsIgnored() {
 		this.directory.replace(List.of(engine(2_000, new LayerRange(40, 80))));
 
 		this.directory.apply(new UpstreamChanges(Versions.v(1), List.of(engine(1_000, new LayerRange(0, 40))),
@@ -86,9 +89,10 @@
 		assertThat(this.left).isEmpty();
 	}
 
-	// The list is a heartbeat late, and an engine that was asked is the first to tell.
+	// The list lags by a heartbeat, and a report of the engine is the first sign of the
+	// restart.
 	@Test
-	void aReportOfANewStartIsBelievedBeforeTheListShowsIt() {
+	void aReportOfANewIncarnationIsAcceptedBeforeTheListShowsIt() {
 		Upstream asked = engine(1_000, new LayerRange(0, 40));
 		this.directory.replace(List.of(asked));
 
@@ -101,7 +105,7 @@
 	}
 
 	@Test
-	void aReportOfAnEarlierStartIsNoWordOfTheEngine() {
+	void aReportOfAnEarlierIncarnationIsRejected() {
 		Upstream asked = engine(2_000, new LayerRange(0, 40));
 		this.directory.replace(List.of(asked));
 
@@ -110,7 +114,7 @@
 	}
 
 	@Test
-	void whereNobodySaysWhenItStartedTheNameAloneCounts() {
+	void withoutAStartTimeTheNameAloneIdentifiesAnUpstream() {
 		Upstream asked = engine(Upstream.BORN_UNKNOWN, new LayerRange(0, 40));
 		this.directory.replace(List.of(asked));
 
@@ -118,11 +122,12 @@
 		assertThat(this.directory.find("e").upstream()).isEqualTo(asked);
 	}
 
-	// An engine counts as full for the rest of the day: requests under way were counted
-	// under its name alone, an entry then said when it had started, and their ends were
-	// no longer found. What was counted under the one is not kept under the other.
+	// An engine would count as full for the rest of the day: running requests were
+	// counted under its name alone, then an entry reported its start time, and their
+	// completions were no longer matched. What was counted under one identifier is not
+	// kept under the other.
 	@Test
-	void whatWasCountedBeforeAStartWasKnownIsNotKeptUnderIt() {
+	void loadCountedWithoutAStartTimeIsNotKeptOnceTheTimeIsKnown() {
 		this.directory.replace(List.of(engine(Upstream.BORN_UNKNOWN, new LayerRange(0, 40))));
 		this.directory.find("e").began(10);
 
@@ -133,7 +138,7 @@
 	}
 
 	@Test
-	void anEntryThatDoesNotSayWhenItStartedIsOfTheStartThatIsKnown() {
+	void anEntryWithoutAStartTimeBelongsToTheKnownIncarnation() {
 		this.directory.replace(List.of(engine(1_000, null)));
 		this.directory.find("e@1000").began(10);
 
@@ -145,7 +150,7 @@
 	}
 
 	@Test
-	void anEntryOfAnotherServiceDoesNotTakeAnAddressOver() {
+	void anEntryOfAnotherServiceDoesNotTakeOverAnAddress() {
 		this.directory.replace(List.of(upstream("1", "a:1", false)));
 		this.directory.apply(new UpstreamChanges(Versions.v(1),
 				List.of(new Upstream("x", 5, "nobody-calls", "a:1", "d", 4, null, null, false)), List.of(),
@@ -155,7 +160,7 @@
 	}
 
 	@Test
-	void theBusiestEnginesAreToldFirst() {
+	void theBusiestEnginesAreReturnedFirst() {
 		this.directory.replace(List.of(upstream("1", "a:1", false), upstream("2", "a:2", false)));
 		this.directory.find("1").began(10);
 		this.directory.find("2").began(20);
