--- a/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/DirectorySynchronizer.java
@@ -9,45 +9,45 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * Keeps the directory of upstreams as the platform's store has it: lists and changes,
- * read by a {@link UpstreamListReader} and told by other routers.
+ * Keeps the local directory of upstreams in line with the platform's store, by lists and
+ * changes that a {@link UpstreamListReader} reads and by changes that peers send.
  * <p>
- * Where the store has come back from an older copy, the list of before stays in use until
- * it is listed anew, and nothing proves it; what the copy doesn't have is kept for as
- * long as an upstream that lives may take to write itself again.
+ * When the store was restored from an older copy, the previous list stays in use,
+ * unproved, until the store is listed again. Upstreams that the copy lacks are kept for
+ * as long as a live upstream may take to register again.
  * <p>
- * Invariants: the version never goes down; changes are applied only to a list that they
- * reach back to, so that none is left out; the list is proved by answers only, each as of
- * its question. Confined to the event loop.
+ * Invariants: the version never decreases; changes are applied only if they reach back to
+ * the version of the list, so that none is skipped; only replies prove the list, each as
+ * of the time of its request. Confined to the event loop.
  */
 final class DirectorySynchronizer {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** The pause between two questions for changes, in milliseconds. */
-	private static final long ASK_PAUSE_MS = 100;
+	/** Minimum interval between requests for changes, in milliseconds. */
+	private static final long REQUEST_INTERVAL_MS = 100;
 
-	/** The pause between two lines about changes that are passed over, in seconds. */
-	private static final int PASSED_OVER_LOG_S = 5;
+	/** Minimum interval between log lines about ignored changes, in seconds. */
+	private static final int IGNORED_LOG_INTERVAL_S = 5;
 
 	/**
-	 * How long after the store came back an upstream may take to write itself again, in
-	 * milliseconds; whoever is still missing then is gone.
+	 * How long an upstream may take to register again after the store was restored, in
+	 * milliseconds. One that is still missing then is gone.
 	 */
-	private static final long WRITTEN_AGAIN_MS = 2000;
+	private static final long REWRITE_PERIOD_MS = 2000;
 
-	/** The pause between two looks whether the list is proved, in milliseconds. */
-	private static final long PROOF_PAUSE_MS = 250;
+	/** Interval between checks whether the list is proved, in milliseconds. */
+	private static final long PROOF_CHECK_INTERVAL_MS = 250;
 
 	/**
-	 * How long after that an entry may stand in the store whose upstream has gone, in
-	 * milliseconds: the store drops it after some silence.
+	 * How long the restored store may still list an upstream that has gone, in
+	 * milliseconds: the store removes an entry after a period of silence.
 	 */
-	private static final long TRUSTED_AGAIN_MS = 6000;
+	private static final long STALE_ENTRIES_EXPIRY_MS = 6000;
 
 	private static final String FROM_STORE = "store";
 
-	private static final String FROM_ROUTER = "router";
+	private static final String FROM_PEER = "router";
 
 	private final RouterContext router;
 
@@ -55,39 +55,42 @@
 
 	private final UpstreamListReader reader;
 
-	private final RecentChanges recent = new RecentChanges();
+	private final RecentChanges recentChanges = new RecentChanges();
 
 	private StoreVersion version = StoreVersion.NONE;
 
-	/** The revision with which the list last changed. */
+	/** The revision at which the list last changed. */
 	private long changedAt;
 
-	private final RestoredListFilter returned = new RestoredListFilter();
+	private final RestoredListFilter restoredList = new RestoredListFilter();
 
 	private boolean listed;
 
-	/** When this revision was the newest for certain, on the clock of proofs. */
+	/** When this revision was last proved to be the newest, on the clock of proofs. */
 	private long provedAtMs;
 
-	private long askedAtMs = Long.MIN_VALUE / 2;
+	private long requestedAtMs = Long.MIN_VALUE / 2;
 
-	/** The version that was asked about last; {@code null} where no question is open. */
-	private StoreVersion askedAfter;
+	/**
+	 * The version of the pending request for changes; {@code null} if none is pending.
+	 */
+	private StoreVersion requestedAfter;
 
 	/**
-	 * A keeper.
-	 * @param router the directory, the other routers and the clocks
-	 * @param store where the list is
-	 * @param listener hears of changes, and asks other routers
-	 * @param leads whether this router plans layers, and so has to know of changes first
-	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
-	 * @param random the source of chance
+	 * Creates a synchronizer.
+	 * @param router the directory, the peers and the clocks
+	 * @param store the store of the list
+	 * @param listener receives changes and sends requests to peers
+	 * @param leading whether this router plans layers and therefore must learn of changes
+	 * first
+	 * @param drainMs how long a leaving upstream still serves, in milliseconds
+	 * @param random the source of randomness
 	 */
-	DirectorySynchronizer(RouterContext router, FleetStore store, Listener listener, BooleanSupplier leads, long drainMs,
-			RandomGenerator random) {
+	DirectorySynchronizer(RouterContext router, FleetStore store, Listener listener, BooleanSupplier leading,
+			long drainMs, RandomGenerator random) {
 		this.router = router;
 		this.listener = listener;
-		this.reader = new UpstreamListReader(router, store, new Read(), leads, drainMs, random);
+		this.reader = new UpstreamListReader(router, store, new StoreListHolder(), leading, drainMs, random);
 	}
 
 	boolean listed() {
@@ -95,16 +98,18 @@
 	}
 
 	/**
-	 * How this router knows the list.
+	 * Returns the state of the local list.
 	 * @return its version and the age of the proof that it is the newest
 	 */
 	UpstreamListState state() {
-		return this.listed ? new UpstreamListState(this.version, this.changedAt, ageMs(), this.reader.watching()) : UpstreamListState.NONE;
+		return this.listed ? new UpstreamListState(this.version, this.changedAt, ageMs(), this.reader.watching())
+				: UpstreamListState.NONE;
 	}
 
 	/**
-	 * Whether this router is one of the few that ask the store sooner than the others.
-	 * @return {@code false} also where there are no others
+	 * Returns whether this router is one of the few that read the store earlier than the
+	 * others.
+	 * @return {@code false} also if there are no others
 	 */
 	boolean readsEarly() {
 		return this.reader.readsEarly();
@@ -118,7 +123,7 @@
 		this.reader.list();
 	}
 
-	private void listed(UpstreamListing listing, long askedBootMs) {
+	private void listed(UpstreamListing listing, long requestedBootMs) {
 		if (!this.listed) {
 			this.router.directory().replace(listing.upstreams());
 			this.version = listing.version();
@@ -127,82 +132,84 @@
 			this.listener.changed();
 		}
 		else if (listing.version().era() > this.version.era()) {
-			listedAnew(listing);
+			listedAfterRestore(listing);
 		}
 		else if (!this.version.after(listing.version())) {
-			apply(this.returned.later(listing, this.router.directory().changesTo(listing, this.version)), FROM_STORE);
+			apply(this.restoredList.later(listing, this.router.directory().changesTo(listing, this.version)),
+					FROM_STORE);
 		}
-		proved(askedBootMs);
+		proved(requestedBootMs);
 		logger.atInfo()
 			.log("event=upstreams-listed count=%d missing=%d version=%s", this.router.directory().size(),
-					this.returned.missing().size(), this.version);
+					this.restoredList.missing().size(), this.version);
 	}
 
-	private void listedAnew(UpstreamListing listing) {
+	private void listedAfterRestore(UpstreamListing listing) {
 		UpstreamDirectory directory = this.router.directory();
-		UpstreamChanges news = this.returned.first(directory.changesTo(listing, this.version), directory::findByName,
-				directory::gone);
-		this.recent.clear();
-		directory.apply(news);
+		UpstreamChanges effective = this.restoredList.first(directory.changesTo(listing, this.version),
+				directory::findByName, directory::gone);
+		this.recentChanges.clear();
+		directory.apply(effective);
 		this.version = listing.version();
 		this.changedAt = this.version.revision();
 		logger.atInfo()
-			.log("event=upstreams-returned changed=%d missing=%s version=%s", news.changed().size(),
-					this.returned.missing(), this.version);
+			.log("event=upstreams-returned changed=%d missing=%s version=%s", effective.changed().size(),
+					this.restoredList.missing(), this.version);
 		this.listener.changed();
-		long writtenAgainBootMs = this.router.bootMs() + WRITTEN_AGAIN_MS;
-		inThisEra(() -> dropMissing(writtenAgainBootMs), WRITTEN_AGAIN_MS);
-		inThisEra(this::trustAgain, TRUSTED_AGAIN_MS);
+		long rewriteEndBootMs = this.router.bootMs() + REWRITE_PERIOD_MS;
+		scheduleInEra(() -> dropMissing(rewriteEndBootMs), REWRITE_PERIOD_MS);
+		scheduleInEra(this::relistIfStaleEntries, STALE_ENTRIES_EXPIRY_MS);
 	}
 
-	private void inThisEra(Runnable step, long pauseMs) {
+	private void scheduleInEra(Runnable action, long delayMs) {
 		long era = this.version.era();
 		this.router.loop().schedule(() -> {
 			if (this.version.era() == era) {
-				step.run();
+				action.run();
 			}
-		}, pauseMs, TimeUnit.MILLISECONDS);
+		}, delayMs, TimeUnit.MILLISECONDS);
 	}
 
-	// Without a proof of later, what was written again may not have been read yet.
-	private void dropMissing(long writtenAgainBootMs) {
-		List<String> missing = List.copyOf(this.returned.missing());
-		if (!missing.isEmpty() && this.provedAtMs < writtenAgainBootMs) {
-			inThisEra(() -> dropMissing(writtenAgainBootMs), PROOF_PAUSE_MS);
+	// Without a proof from after the rewrite period, entries that were written again may
+	// not have been read yet.
+	private void dropMissing(long rewriteEndBootMs) {
+		List<String> missing = List.copyOf(this.restoredList.missing());
+		if (!missing.isEmpty() && this.provedAtMs < rewriteEndBootMs) {
+			scheduleInEra(() -> dropMissing(rewriteEndBootMs), PROOF_CHECK_INTERVAL_MS);
 		}
 		else if (!missing.isEmpty()) {
 			logger.atInfo().log("event=upstreams-gone removed=%s version=%s", missing, this.version);
-			this.returned.forgetMissing();
+			this.restoredList.forgetMissing();
 			this.router.directory().apply(new UpstreamChanges(this.version, List.of(), missing, this.version));
 			this.listener.changed();
 		}
 	}
 
-	private void trustAgain() {
-		if (this.returned.forgetOutlived()) {
+	private void relistIfStaleEntries() {
+		if (this.restoredList.forgetStaleEntries()) {
 			this.reader.list();
 		}
 	}
 
-	/** The store has come back from an older copy. */
+	/** Handles a restore of the store from an older copy. */
 	void storeRestored() {
 		if (this.listed) {
 			this.reader.relist();
 		}
 	}
 
-	private void proved(long askedBootMs) {
-		this.provedAtMs = Math.max(this.provedAtMs, askedBootMs);
+	private void proved(long requestedBootMs) {
+		this.provedAtMs = Math.max(this.provedAtMs, requestedBootMs);
 	}
 
 	private void apply(UpstreamChanges changes, String source) {
 		if (changes.size() == 0) {
-			unchangedUntil(changes.version());
+			advanceUnchanged(changes.version());
 			return;
 		}
-		this.recent.add(changes, this.version);
+		this.recentChanges.add(changes, this.version);
 		this.router.directory().apply(changes);
-		this.returned.written(changes);
+		this.restoredList.recordWritten(changes);
 		this.version = changes.version();
 		this.changedAt = this.version.revision();
 		logger.atInfo()
@@ -211,18 +218,19 @@
 		this.listener.changed();
 	}
 
-	// The revision goes on all the same: the store forgets what lies too far back.
-	private void unchangedUntil(StoreVersion newer) {
-		this.recent.unchanged(this.version, newer);
+	// The revision advances although the list did not change: the store discards history
+	// that lies too far back.
+	private void advanceUnchanged(StoreVersion newer) {
+		this.recentChanges.unchanged(this.version, newer);
 		this.version = newer;
 	}
 
 	/**
-	 * Hears how another router knows the list.
-	 * @param address where it takes messages
-	 * @param theirs what it said
-	 * @param theirProvedAtMs when its version was the newest for certain, on the clock of
-	 * proofs
+	 * Processes the state of the list as reported by a peer.
+	 * @param address the address at which the peer receives messages
+	 * @param theirs the reported state
+	 * @param theirProvedAtMs when its version was last proved to be the newest, on the
+	 * clock of proofs
 	 */
 	void peerStateReceived(String address, UpstreamListState theirs, long theirProvedAtMs) {
 		if (!this.listed || theirs.version().era() != this.version.era()) {
@@ -231,47 +239,49 @@
 		if (theirs.changedAt() <= this.version.revision()) {
 			proved(theirProvedAtMs);
 			if (theirs.version().after(this.version)) {
-				unchangedUntil(theirs.version());
+				advanceUnchanged(theirs.version());
 			}
 		}
-		else if (this.router.nowMs() - this.askedAtMs >= ASK_PAUSE_MS) {
-			this.askedAtMs = this.router.nowMs();
-			this.askedAfter = this.version;
+		else if (this.router.nowMs() - this.requestedAtMs >= REQUEST_INTERVAL_MS) {
+			this.requestedAtMs = this.router.nowMs();
+			this.requestedAfter = this.version;
 			this.listener.requestChanges(address, this.version);
 		}
 	}
 
 	/**
-	 * What changed after a version, for another router.
-	 * @param after the version that it has
-	 * @return the changes, where they are known
+	 * Returns the changes after a version, for a peer.
+	 * @param after the version that the peer has
+	 * @return the changes, or {@link UpstreamChanges#unknownAfter} if they are not
+	 * available
 	 */
 	UpstreamChanges changesAfter(StoreVersion after) {
-		return this.recent.after(after);
+		return this.recentChanges.after(after);
 	}
 
 	/**
-	 * Takes what another router says has changed.
-	 * @param changes the changes; those that weren't asked for, are old, doubled or don't
-	 * reach back to this router's list change nothing. Where the other one doesn't know
-	 * them, the next one that is heard is asked, or in the end the store
+	 * Processes changes sent by a peer.
+	 * @param changes the changes; ignored if they were not requested, are outdated or
+	 * duplicate, or do not reach back to the version of the local list. If the peer does
+	 * not have the changes, they are requested from the next peer that reports a later
+	 * version, or finally read from the store
 	 */
 	void peerChangesReceived(UpstreamChanges changes) {
-		boolean asked = this.listed && changes.after().equals(this.askedAfter);
-		if (asked && changes.appliesTo(this.version)) {
-			apply(changes, FROM_ROUTER);
+		boolean requested = this.listed && changes.after().equals(this.requestedAfter);
+		if (requested && changes.appliesTo(this.version)) {
+			apply(changes, FROM_PEER);
 		}
-		else if (!asked || !changes.unknown()) {
+		else if (!requested || !changes.unknown()) {
 			logger.atWarning()
-				.atMostEvery(PASSED_OVER_LOG_S, TimeUnit.SECONDS)
+				.atMostEvery(IGNORED_LOG_INTERVAL_S, TimeUnit.SECONDS)
 				.log("event=changes-passed-over after=%s to=%s asked=%s held=%s", changes.after(), changes.version(),
-						this.askedAfter, this.version);
+						this.requestedAfter, this.version);
 		}
-		this.askedAfter = asked ? null : this.askedAfter;
+		this.requestedAfter = requested ? null : this.requestedAfter;
 	}
 
-	/** What is read from the store. */
-	private final class Read implements UpstreamListReader.ListHolder {
+	/** Receives what is read from the store. */
+	private final class StoreListHolder implements UpstreamListReader.ListHolder {
 
 		@Override
 		public StoreVersion version() {
@@ -284,13 +294,13 @@
 		}
 
 		@Override
-		public void listed(UpstreamListing listing, long askedBootMs) {
-			DirectorySynchronizer.this.listed(listing, askedBootMs);
+		public void listed(UpstreamListing listing, long requestedBootMs) {
+			DirectorySynchronizer.this.listed(listing, requestedBootMs);
 		}
 
 		@Override
-		public void changed(UpstreamChanges changes, long askedBootMs) {
-			proved(askedBootMs);
+		public void changed(UpstreamChanges changes, long requestedBootMs) {
+			proved(requestedBootMs);
 			if (changes.appliesTo(DirectorySynchronizer.this.version)) {
 				apply(changes, FROM_STORE);
 				if (changes.size() > 0) {
@@ -301,18 +311,18 @@
 
 	}
 
-	/** What the keeper wants of others; called on the event loop. */
+	/** Receives events of the synchronizer. Called on the event loop. */
 	interface Listener {
 
-		/** The directory has changed. */
+		/** Called after the directory has changed. */
 		void changed();
 
-		/** Other routers should hear of the newest version at once. */
+		/** Sends the newest version to peers at once. */
 		void notifyPeers();
 
 		/**
-		 * Another router has a later version.
-		 * @param address where it takes messages
+		 * Requests changes from a peer that has a later version.
+		 * @param address the address at which the peer receives messages
 		 * @param after the version that this router has
 		 */
 		void requestChanges(String address, StoreVersion after);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RestoredListFilter.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RestoredListFilter.java
@@ -10,104 +10,106 @@
 import java.util.function.Predicate;
 
 /**
- * What is known of upstreams better than by the older copy from which the store came
- * back.
+ * Filters the list of a store that was restored from an older copy by what this router
+ * knows of later states of the upstreams.
  * <p>
- * The failures it guards against: the copy has an upstream serve that has said since that
- * it leaves, or lists one that has gone, and requests go there again; and it lacks
- * upstreams that came later and live, which would be dropped all at once. What an
- * upstream said last holds until it writes itself again.
+ * Guards against two failures. The copy may show an upstream as serving that has since
+ * announced that it leaves, or list one that has gone, and requests would be sent there
+ * again. And it may lack live upstreams that were added after it was made, which would
+ * all be dropped at once. The last state that an upstream registered is kept until the
+ * upstream writes its entry again.
  * <p>
  * Confined to the event loop.
  */
 final class RestoredListFilter {
 
-	/** Names of upstreams that the copy lacks and that may write themselves again. */
+	/** Names of upstreams that the copy lacks and that may register again. */
 	private final Set<String> missing = new HashSet<>();
 
-	/** Entries of the copy that say less than was known, by name. */
-	private final Map<String, Upstream> outlived = new HashMap<>();
+	/** Entries of the copy that are older than the known state, by name. */
+	private final Map<String, Upstream> staleEntries = new HashMap<>();
 
 	/**
-	 * Takes the first list after a return.
-	 * @param changes what it changes
-	 * @param known the upstream of a name as it is known, or {@code null}
-	 * @param gone whether a start is known to have gone
-	 * @return the changes that are news
+	 * Filters the first list after a restore.
+	 * @param changes what the list changes
+	 * @param known returns the known upstream of a name, or {@code null}
+	 * @param gone whether an incarnation is known to have gone
+	 * @return the changes to apply
 	 */
 	UpstreamChanges first(UpstreamChanges changes, Function<String, Upstream> known, Predicate<String> gone) {
 		this.missing.clear();
-		this.outlived.clear();
+		this.staleEntries.clear();
 		this.missing.addAll(changes.removed());
-		List<Upstream> news = new ArrayList<>();
+		List<Upstream> effective = new ArrayList<>();
 		for (Upstream listed : changes.changed()) {
 			Upstream before = known.apply(listed.id());
 			boolean left = (before != null) ? before.leaving() && !listed.bornAfter(before.bornMs())
 					: gone.test(listed.incarnation());
 			if (left) {
-				this.outlived.put(listed.id(), listed);
+				this.staleEntries.put(listed.id(), listed);
 			}
 			else {
-				news.add(listed);
+				effective.add(listed);
 			}
 		}
-		return new UpstreamChanges(changes.after(), news, List.of(), changes.version());
+		return new UpstreamChanges(changes.after(), effective, List.of(), changes.version());
 	}
 
 	/**
-	 * Takes a later list of the same era.
+	 * Filters a later list of the same era.
 	 * @param listing the list
-	 * @param changes what it changes
-	 * @return the changes that are news
+	 * @param changes what the list changes
+	 * @return the changes to apply
 	 */
 	UpstreamChanges later(UpstreamListing listing, UpstreamChanges changes) {
-		List<Upstream> news = new ArrayList<>(changes.changed());
-		news.removeIf((listed) -> listed.equals(this.outlived.get(listed.id())));
+		List<Upstream> effective = new ArrayList<>(changes.changed());
+		effective.removeIf((listed) -> listed.equals(this.staleEntries.get(listed.id())));
 		for (Upstream listed : listing.upstreams()) {
-			// It is as it was known, but others may still miss it.
-			if (this.missing.remove(listed.id()) && !news.contains(listed)) {
-				news.add(listed);
+			// The entry equals the known one, but peers may still lack it.
+			if (this.missing.remove(listed.id()) && !effective.contains(listed)) {
+				effective.add(listed);
 			}
 		}
 		List<String> removed = new ArrayList<>(changes.removed());
 		removed.removeIf(this.missing::contains);
-		return new UpstreamChanges(changes.after(), news, removed, changes.version());
+		return new UpstreamChanges(changes.after(), effective, removed, changes.version());
 	}
 
 	/**
-	 * Hears of what was written since.
+	 * Records what was written since the restore.
 	 * @param changes the changes
 	 */
-	void written(UpstreamChanges changes) {
-		changes.changed().forEach((upstream) -> written(upstream.id()));
-		changes.removed().forEach(this::written);
+	void recordWritten(UpstreamChanges changes) {
+		changes.changed().forEach((upstream) -> recordWritten(upstream.id()));
+		changes.removed().forEach(this::recordWritten);
 	}
 
-	private void written(String id) {
+	private void recordWritten(String id) {
 		this.missing.remove(id);
-		this.outlived.remove(id);
+		this.staleEntries.remove(id);
 	}
 
 	/**
-	 * The upstreams that the copy lacks and that weren't written since.
+	 * Returns the upstreams that the copy lacks and that have not been written since.
 	 * @return their names
 	 */
 	Set<String> missing() {
 		return Set.copyOf(this.missing);
 	}
 
-	/** Gives the upstreams up that are missing. */
+	/** Stops tracking the missing upstreams, because they are gone. */
 	void forgetMissing() {
 		this.missing.clear();
 	}
 
 	/**
-	 * Trusts the store's entries again, whoever wrote them.
-	 * @return whether there was any that wasn't trusted
+	 * Accepts all entries of the store again, including those that were older than the
+	 * known state.
+	 * @return whether there were any such entries
 	 */
-	boolean forgetOutlived() {
-		boolean any = !this.outlived.isEmpty();
-		this.outlived.clear();
+	boolean forgetStaleEntries() {
+		boolean any = !this.staleEntries.isEmpty();
+		this.staleEntries.clear();
 		return any;
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -9,65 +9,67 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * Reads the list of upstreams and its changes from the platform's store: whole at the
- * start, where the store's history is gone and where it has come back from an older copy,
- * then by looks and waits.
+ * Reads the list of upstreams and its changes from the platform's store. The full list is
+ * read at the start, when the store's history has been discarded and when the store was
+ * restored from an older copy; after that, polls and watches read the changes.
  * <p>
- * A wait brings changes at once and proves nothing while it is open: it may have been
- * lost on a connection that went silent. A look is answered at once and proves the list,
- * for this router and for those that hear of it. {@link ListWatchRota} says who waits and
- * who looks when.
+ * A watch delivers changes at once but proves nothing while it is open, because it may
+ * have been lost on a connection that went silent. A poll is answered immediately and
+ * proves the list, for this router and for the peers that receive its proof.
+ * {@link ListWatchRota} decides which routers watch and when each of them polls.
  * <p>
- * Invariants: at most one list or look and at most one wait are under way; each answer is
- * dated by its question. Confined to the event loop.
+ * Invariants: at most one list or poll and at most one watch are pending; each reply
+ * counts as of the time of its request. Confined to the event loop.
  */
 final class UpstreamListReader {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** How long a wait is open, in milliseconds; a call each. */
-	private static final long WAIT_MS = 5000;
+	/** How long a watch stays open, in milliseconds. Each watch is one call. */
+	private static final long WATCH_MS = 5000;
 
-	/** How long the store may wait with the answer to a look, in milliseconds. */
-	private static final long LOOK_MS = 1;
+	/** How long the store may wait for a change in a poll, in milliseconds. */
+	private static final long POLL_WAIT_MS = 1;
 
 	/**
-	 * The pause between a change and the next wait, in milliseconds: in a burst, each
-	 * change would be a call of its own.
+	 * Delay between a change and the next watch, in milliseconds. Without it, each change
+	 * of a burst would be a separate call.
 	 */
-	private static final long GATHER_MS = 400;
+	private static final long BATCH_MS = 400;
 
 	/**
-	 * What each router of the fleet adds to the time over which lists are spread after
-	 * the store came back, in milliseconds: all routers hear of it within moments.
+	 * Contribution of each router of the fleet to the jitter of lists after a restore of
+	 * the store, in milliseconds: all routers learn of the restore almost at the same
+	 * time.
 	 */
-	private static final long RELIST_MS_PER_ROUTER = 10;
+	private static final long RELIST_JITTER_MS_PER_ROUTER = 10;
 
 	/**
-	 * The most of that time, as a part of the time for which a leaving upstream serves.
+	 * Upper bound of that jitter, as a ratio of the time for which a leaving upstream
+	 * serves.
 	 */
-	private static final double RELIST_PART = 0.4;
+	private static final double MAX_RELIST_JITTER_RATIO = 0.4;
 
-	/** The pause before a list that failed is asked for again, in milliseconds. */
+	/** Delay before a failed list is requested again, in milliseconds. */
 	private static final long RETRY_MS = 250;
 
 	private final RouterContext router;
 
 	private final FleetStore store;
 
-	private final ListHolder reader;
+	private final ListHolder holder;
 
-	private final BooleanSupplier leads;
+	private final BooleanSupplier leading;
 
 	private final long drainMs;
 
-	private final ListWatchRota rota;
+	private final ListWatchRota rotation;
 
-	private boolean asking;
+	private boolean requestPending;
 
-	private boolean waiting;
+	private boolean watchOpen;
 
-	private boolean gathering;
+	private boolean batching;
 
 	private boolean relisting;
 
@@ -76,167 +78,171 @@
 	private ScheduledFuture<?> next;
 
 	/**
-	 * A reader.
-	 * @param router the other routers and the clocks
-	 * @param store where the list is
-	 * @param reader takes what was read
-	 * @param leads whether this router plans layers, and so has to know of changes first
-	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
-	 * @param random the source of chance
+	 * Creates a reader.
+	 * @param router the peers and the clocks
+	 * @param store the store of the list
+	 * @param holder receives what was read
+	 * @param leading whether this router plans layers and therefore must learn of changes
+	 * first
+	 * @param drainMs how long a leaving upstream still serves, in milliseconds
+	 * @param random the source of randomness
 	 */
-	UpstreamListReader(RouterContext router, FleetStore store, ListHolder reader, BooleanSupplier leads, long drainMs,
+	UpstreamListReader(RouterContext router, FleetStore store, ListHolder holder, BooleanSupplier leading, long drainMs,
 			RandomGenerator random) {
 		this.router = router;
 		this.store = store;
-		this.reader = reader;
-		this.leads = leads;
+		this.holder = holder;
+		this.leading = leading;
 		this.drainMs = drainMs;
 		this.random = random;
-		this.rota = new ListWatchRota(drainMs, random);
+		this.rotation = new ListWatchRota(drainMs, random);
 	}
 
 	/**
-	 * Whether this router is one of the few that ask the store sooner than the others.
-	 * @return {@code false} also where there are no others
+	 * Returns whether this router is one of the few that read the store earlier than the
+	 * others.
+	 * @return {@code false} also if there are no others
 	 */
 	boolean readsEarly() {
 		return watching() && ListWatchRota.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
 	}
 
 	/**
-	 * Whether this router waits at the store for changes.
-	 * @return {@code true} also between a change and the next wait
+	 * Returns whether this router watches the store for changes.
+	 * @return {@code true} also between a change and the next watch
 	 */
 	boolean watching() {
-		return this.waiting || this.gathering;
+		return this.watchOpen || this.batching;
 	}
 
-	/** Reads the whole list, and goes on from there. */
+	/** Reads the full list, then continues with polls and watches. */
 	void list() {
-		if (this.asking) {
-			in(RETRY_MS, this::list);
+		if (this.requestPending) {
+			schedule(RETRY_MS, this::list);
 			return;
 		}
 		this.relisting = false;
-		this.asking = true;
-		long askedBootMs = this.router.bootMs();
-		this.store.listUpstreams((reply) -> listed(reply, askedBootMs));
+		this.requestPending = true;
+		long requestedBootMs = this.router.bootMs();
+		this.store.listUpstreams((reply) -> listed(reply, requestedBootMs));
 	}
 
-	private void listed(StoreReply<UpstreamListing> reply, long askedBootMs) {
-		this.asking = false;
+	private void listed(StoreReply<UpstreamListing> reply, long requestedBootMs) {
+		this.requestPending = false;
 		if (reply instanceof StoreReply.Found<UpstreamListing> found) {
-			this.reader.listed(found.value(), askedBootMs);
-			waitWhereFewDo();
-			step();
+			this.holder.listed(found.value(), requestedBootMs);
+			watchIfNeeded();
+			pollIfDue();
 		}
 		else {
 			logger.atWarning().log("event=list-failed reason=\"%s\"", reply);
-			in(RETRY_MS, this::list);
+			schedule(RETRY_MS, this::list);
 		}
 	}
 
-	/** Lists anew a while after the store came back, each router at a time of its own. */
+	/** Requests the full list after a restore of the store, after a random delay. */
 	void relist() {
 		long routers = this.router.peers().sharers(this.router.nowMs());
-		long spreadMs = Math.min(RELIST_MS_PER_ROUTER * routers, (long) (RELIST_PART * this.drainMs));
+		long jitterMs = Math.min(RELIST_JITTER_MS_PER_ROUTER * routers,
+				(long) (MAX_RELIST_JITTER_RATIO * this.drainMs));
 		this.relisting = true;
-		in(this.random.nextLong(Math.max(1, spreadMs)), this::list);
+		schedule(this.random.nextLong(Math.max(1, jitterMs)), this::list);
 	}
 
-	private void step() {
-		if (this.asking || this.relisting) {
+	private void pollIfDue() {
+		if (this.requestPending || this.relisting) {
 			return;
 		}
-		if (this.leads.getAsBoolean() && !watching()) {
-			waitForChanges();
+		if (this.leading.getAsBoolean() && !watching()) {
+			watch();
 		}
-		long pauseMs = this.rota.pauseMs(this.reader.ageMs(), readsEarly());
+		long pauseMs = this.rotation.pauseMs(this.holder.ageMs(), readsEarly());
 		if (pauseMs > 0) {
-			in(pauseMs, this::step);
+			schedule(pauseMs, this::pollIfDue);
 		}
 		else {
-			look();
+			poll();
 		}
 	}
 
-	private void in(long pauseMs, Runnable step) {
+	private void schedule(long pauseMs, Runnable action) {
 		if (this.next != null) {
 			this.next.cancel(false);
 		}
-		this.next = this.router.loop().schedule(step, pauseMs, TimeUnit.MILLISECONDS);
+		this.next = this.router.loop().schedule(action, pauseMs, TimeUnit.MILLISECONDS);
 	}
 
-	private void look() {
-		this.asking = true;
-		long askedBootMs = this.router.bootMs();
-		this.store.watchUpstreams(this.reader.version(), LOOK_MS, (reply) -> looked(reply, askedBootMs));
+	private void poll() {
+		this.requestPending = true;
+		long requestedBootMs = this.router.bootMs();
+		this.store.watchUpstreams(this.holder.version(), POLL_WAIT_MS, (reply) -> polled(reply, requestedBootMs));
 	}
 
-	private void looked(StoreReply<UpstreamChanges> reply, long askedBootMs) {
-		this.asking = false;
+	private void polled(StoreReply<UpstreamChanges> reply, long requestedBootMs) {
+		this.requestPending = false;
 		switch (reply) {
 			case StoreReply.Found<UpstreamChanges> found -> {
-				this.reader.changed(found.value(), askedBootMs);
-				waitWhereFewDo();
-				step();
+				this.holder.changed(found.value(), requestedBootMs);
+				watchIfNeeded();
+				pollIfDue();
 			}
 			case StoreReply.Outdated<UpstreamChanges> ignored -> outdated();
 			default -> {
 				failed("look", reply);
-				retryLook();
+				retryPoll();
 			}
 		}
 	}
 
-	private void retryLook() {
+	private void retryPoll() {
 		if (!this.relisting) {
-			in(WatchRetryDelay.ms(this.router.peers().sharers(this.router.nowMs()), this.drainMs), this::step);
+			schedule(WatchRetryDelay.ms(this.router.peers().sharers(this.router.nowMs()), this.drainMs),
+					this::pollIfDue);
 		}
 	}
 
-	private void waitWhereFewDo() {
+	private void watchIfNeeded() {
 		if (watching() || this.relisting) {
 			return;
 		}
 		double others = this.router.peers().listWatchers(this.router.nowMs());
-		if (this.leads.getAsBoolean() || this.rota.goesOn(others)) {
-			logger.atInfo().log("event=list-wait-begun others=%.1f version=%s", others, this.reader.version());
-			waitForChanges();
+		if (this.leading.getAsBoolean() || this.rotation.goesOn(others)) {
+			logger.atInfo().log("event=list-wait-begun others=%.1f version=%s", others, this.holder.version());
+			watch();
 		}
 	}
 
-	private void waitForChanges() {
-		this.gathering = false;
-		this.waiting = true;
-		long askedBootMs = this.router.bootMs();
-		this.store.watchUpstreams(this.reader.version(), WAIT_MS, (reply) -> waited(reply, askedBootMs));
+	private void watch() {
+		this.batching = false;
+		this.watchOpen = true;
+		long requestedBootMs = this.router.bootMs();
+		this.store.watchUpstreams(this.holder.version(), WATCH_MS, (reply) -> watchReturned(reply, requestedBootMs));
 	}
 
-	private void waited(StoreReply<UpstreamChanges> reply, long askedBootMs) {
-		this.waiting = false;
+	private void watchReturned(StoreReply<UpstreamChanges> reply, long requestedBootMs) {
+		this.watchOpen = false;
 		switch (reply) {
 			case StoreReply.Found<UpstreamChanges> found -> {
-				this.reader.changed(found.value(), askedBootMs);
-				goOnWaiting(found.value().size() > 0);
+				this.holder.changed(found.value(), requestedBootMs);
+				continueWatching(found.value().size() > 0);
 			}
 			case StoreReply.Outdated<UpstreamChanges> ignored -> outdated();
-			// The next look shows whether the store can be reached again.
+			// The next poll shows whether the store can be reached again.
 			default -> failed("wait", reply);
 		}
 	}
 
-	private void goOnWaiting(boolean changed) {
+	private void continueWatching(boolean changed) {
 		double others = this.router.peers().listWatchers(this.router.nowMs());
-		if (!this.leads.getAsBoolean() && !this.rota.goesOn(others)) {
-			logger.atInfo().log("event=list-wait-left others=%.1f version=%s", others, this.reader.version());
+		if (!this.leading.getAsBoolean() && !this.rotation.goesOn(others)) {
+			logger.atInfo().log("event=list-wait-left others=%.1f version=%s", others, this.holder.version());
 		}
 		else if (changed) {
-			this.gathering = true;
-			this.router.loop().schedule(this::waitForChanges, GATHER_MS, TimeUnit.MILLISECONDS);
+			this.batching = true;
+			this.router.loop().schedule(this::watch, BATCH_MS, TimeUnit.MILLISECONDS);
 		}
 		else {
-			waitForChanges();
+			watch();
 		}
 	}
 
@@ -244,44 +250,44 @@
 		if (this.relisting) {
 			return;
 		}
-		logger.atWarning().log("event=list-outdated version=%s", this.reader.version());
+		logger.atWarning().log("event=list-outdated version=%s", this.holder.version());
 		list();
 	}
 
 	private void failed(String call, StoreReply<UpstreamChanges> reply) {
 		logger.atWarning()
-			.log("event=list-%s-failed reason=\"%s\" version=%s age-ms=%d", call, reply, this.reader.version(),
-					this.reader.ageMs());
+			.log("event=list-%s-failed reason=\"%s\" version=%s age-ms=%d", call, reply, this.holder.version(),
+					this.holder.ageMs());
 	}
 
-	/** Whose list it is; called on the event loop. */
+	/** Holder of the list. Called on the event loop. */
 	interface ListHolder {
 
 		/**
-		 * The version from which on changes are wanted.
+		 * Returns the version after which changes are to be read.
 		 * @return the version; {@link StoreVersion#NONE} before the first list
 		 */
 		StoreVersion version();
 
 		/**
-		 * How long ago the list was the newest for certain.
+		 * Returns how long ago the list was last proved to be the newest.
 		 * @return milliseconds
 		 */
 		long ageMs();
 
 		/**
-		 * Takes a whole list.
+		 * Receives the full list.
 		 * @param listing the list
-		 * @param askedBootMs when it was asked for, on the clock of proofs
+		 * @param requestedBootMs when it was requested, on the clock of proofs
 		 */
-		void listed(UpstreamListing listing, long askedBootMs);
+		void listed(UpstreamListing listing, long requestedBootMs);
 
 		/**
-		 * Takes changes; those that are late or doubled change nothing.
+		 * Receives changes; outdated or duplicate ones have no effect.
 		 * @param changes the changes
-		 * @param askedBootMs when they were asked for, on the clock of proofs
+		 * @param requestedBootMs when they were requested, on the clock of proofs
 		 */
-		void changed(UpstreamChanges changes, long askedBootMs);
+		void changed(UpstreamChanges changes, long requestedBootMs);
 
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/WatchRetryDelay.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/WatchRetryDelay.java
@@ -1,38 +1,38 @@
 package io.whinjunction.router;
 
 /**
- * How long to wait after a watch of the list of upstreams that failed.
+ * Computes the delay before a failed watch of the list of upstreams is retried.
  * <p>
- * The load it answers: the store is down or turns this router away, and refused calls
- * have their price too. The larger the fleet, the longer each router waits, as far as an
- * upstream that leaves is still noticed well before it stops serving. Stateless.
+ * Load pattern: the store is down or rejects this router, and rejected calls cost
+ * resources too. The delay grows with the size of the fleet, up to a bound at which a
+ * leaving upstream is still noticed well before it stops serving. Stateless.
  */
 final class WatchRetryDelay {
 
-	/** The pause in a small fleet, in milliseconds. */
-	private static final long LEAST_MS = 400;
+	/** The delay in a small fleet, in milliseconds. */
+	private static final long MIN_MS = 400;
 
-	/** What each router of the fleet adds, in milliseconds. */
+	/** Contribution of each router of the fleet, in milliseconds. */
 	private static final long MS_PER_ROUTER = 40;
 
 	/**
-	 * The part of the time for which a leaving upstream still serves: the rest is for the
-	 * calls themselves and for a store that is slow.
+	 * Upper bound of the delay, as a ratio of the time for which a leaving upstream still
+	 * serves. The rest is left for the calls themselves and for a slow store.
 	 */
-	private static final double DRAIN_PART = 0.4;
+	private static final double MAX_DRAIN_RATIO = 0.4;
 
 	private WatchRetryDelay() {
 	}
 
 	/**
-	 * The pause.
-	 * @param routers how many routers there are
-	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
+	 * Returns the delay.
+	 * @param routers the number of routers in the fleet
+	 * @param drainMs how long a leaving upstream still serves, in milliseconds
 	 * @return milliseconds
 	 */
 	static long ms(int routers, long drainMs) {
-		long most = Math.max(LEAST_MS, (long) (DRAIN_PART * drainMs));
-		return Math.clamp(MS_PER_ROUTER * routers, LEAST_MS, most);
+		long maxMs = Math.max(MIN_MS, (long) (MAX_DRAIN_RATIO * drainMs));
+		return Math.clamp(MS_PER_ROUTER * routers, MIN_MS, maxMs);
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/DirectorySynchronizerTests.java
@@ -17,7 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a router does with changes of the list of upstreams that others tell.
+ * Tests how a router handles changes of the list of upstreams from peers and from the
+ * store.
  */
 class DirectorySynchronizerTests {
 
@@ -32,7 +33,7 @@
 
 	private final PeerTable peers = new PeerTable("10.0.0.1:1", new Random(1));
 
-	private final List<StoreVersion> asked = new ArrayList<>();
+	private final List<StoreVersion> requested = new ArrayList<>();
 
 	private final List<Consumer<StoreReply<UpstreamListing>>> lists = new ArrayList<>();
 
@@ -40,149 +41,154 @@
 
 	private long nowMs = 100_000;
 
-	private int told;
+	private int notified;
 
-	private final DirectorySynchronizer keeper = new DirectorySynchronizer(context(), store(), new DirectorySynchronizer.Listener() {
+	private final DirectorySynchronizer synchronizer = new DirectorySynchronizer(context(), store(),
+			new DirectorySynchronizer.Listener() {
 
-		@Override
-		public void changed() {
-		}
+				@Override
+				public void changed() {
+				}
 
-		@Override
-		public void notifyPeers() {
-			DirectorySynchronizerTests.this.told++;
-		}
+				@Override
+				public void notifyPeers() {
+					DirectorySynchronizerTests.this.notified++;
+				}
 
-		@Override
-		public void requestChanges(String address, StoreVersion after) {
-			DirectorySynchronizerTests.this.asked.add(after);
-		}
+				@Override
+				public void requestChanges(String address, StoreVersion after) {
+					DirectorySynchronizerTests.this.requested.add(after);
+				}
 
-	}, () -> false, DRAIN_MS, new Random(2));
+			}, () -> false, DRAIN_MS, new Random(2));
 
 	@BeforeEach
 	void list() {
-		this.keeper.start();
+		this.synchronizer.start();
 		this.lists.getFirst()
 			.accept(new StoreReply.Found<>(
 					new UpstreamListing(List.of(upstream("a", 1), upstream("b", 1)), Versions.v(10))));
 	}
 
 	@Test
-	void whatAnotherRouterKnowsBeyondOnesOwnListIsAskedForAndApplied() {
-		hear(new UpstreamListState(Versions.v(12), 12, 0, true));
+	void changesThatAPeerHasAreRequestedAndApplied() {
+		receive(new UpstreamListState(Versions.v(12), 12, 0, true));
 
-		assertThat(this.asked).containsExactly(Versions.v(10));
+		assertThat(this.requested).containsExactly(Versions.v(10));
 
-		this.keeper.peerChangesReceived(new UpstreamChanges(Versions.v(10), List.of(upstream("c", 1)), List.of("a"), Versions.v(12)));
+		this.synchronizer.peerChangesReceived(
+				new UpstreamChanges(Versions.v(10), List.of(upstream("c", 1)), List.of("a"), Versions.v(12)));
 		assertThat(this.directory.find("a")).isNull();
 		assertThat(this.directory.find("c")).isNotNull();
-		assertThat(this.keeper.state().version()).isEqualTo(Versions.v(12));
+		assertThat(this.synchronizer.state().version()).isEqualTo(Versions.v(12));
 	}
 
-	// A request goes to an upstream that has left, or to one that nobody listed: changes
-	// come late, twice, from another life of a router or from whoever reaches the port.
-	// What doesn't answer the last question, or doesn't reach back to the list, is
-	// passed over.
+	// A request would be sent to an upstream that has left, or to one that was never
+	// listed: changes may arrive late, twice, from an earlier incarnation of a router or
+	// from any sender that reaches the port. Changes are ignored unless they answer the
+	// last request and reach back to the version of the list.
 	@Test
-	void changesThatAreUnaskedLateDoubledOrCutShortChangeNothing() {
+	void unrequestedLateDuplicateOrIncompleteChangesAreIgnored() {
 		UpstreamChanges changes = new UpstreamChanges(Versions.v(10), List.of(), List.of("a"), Versions.v(12));
 
-		this.keeper.peerChangesReceived(changes);
+		this.synchronizer.peerChangesReceived(changes);
 		assertThat(this.directory.size()).isEqualTo(2);
 
-		hear(new UpstreamListState(Versions.v(14), 12, 0, true));
-		this.keeper.peerChangesReceived(new UpstreamChanges(Versions.v(11), List.of(), List.of("a"), Versions.v(14)));
+		receive(new UpstreamListState(Versions.v(14), 12, 0, true));
+		this.synchronizer
+			.peerChangesReceived(new UpstreamChanges(Versions.v(11), List.of(), List.of("a"), Versions.v(14)));
 		assertThat(this.directory.size()).isEqualTo(2);
 
-		this.keeper.peerChangesReceived(changes);
+		this.synchronizer.peerChangesReceived(changes);
 		assertThat(this.directory.size()).isEqualTo(1);
 
 		this.nowMs += 1000;
-		hear(new UpstreamListState(Versions.v(16), 16, 0, true));
-		this.keeper.peerChangesReceived(new UpstreamChanges(Versions.v(10), List.of(upstream("a", 1)), List.of(), Versions.v(12)));
+		receive(new UpstreamListState(Versions.v(16), 16, 0, true));
+		this.synchronizer.peerChangesReceived(
+				new UpstreamChanges(Versions.v(10), List.of(upstream("a", 1)), List.of(), Versions.v(12)));
 		assertThat(this.directory.size()).isEqualTo(1);
-		assertThat(this.keeper.state().version()).isEqualTo(Versions.v(12));
+		assertThat(this.synchronizer.state().version()).isEqualTo(Versions.v(12));
 	}
 
-	// Each lease that is renewed moves the store's revision on, and each router would ask
-	// each other one what has changed: nothing has.
+	// Each renewal of a lease advances the revision of the store. Without this rule,
+	// every router would request changes from its peers although nothing has changed.
 	@Test
-	void aLaterRevisionWithoutChangesIsTakenOverWithoutAQuestion() {
-		hear(new UpstreamListState(Versions.v(40), 9, 0, true));
+	void aLaterRevisionWithoutChangesIsAdoptedWithoutARequest() {
+		receive(new UpstreamListState(Versions.v(40), 9, 0, true));
 
-		assertThat(this.asked).isEmpty();
-		assertThat(this.keeper.state().version()).isEqualTo(Versions.v(40));
-		assertThat(this.keeper.state().changedAt()).isEqualTo(10);
+		assertThat(this.requested).isEmpty();
+		assertThat(this.synchronizer.state().version()).isEqualTo(Versions.v(40));
+		assertThat(this.synchronizer.state().changedAt()).isEqualTo(10);
 	}
 
 	@Test
-	void whatTheStoreSaysIsToldToOthers() {
+	void changesReadFromTheStoreAreSentToPeers() {
 		this.watches.getFirst()
 			.accept(new StoreReply.Found<>(
 					new UpstreamChanges(Versions.v(10), List.of(upstream("c", 1)), List.of(), Versions.v(13))));
 
-		assertThat(this.told).isEqualTo(1);
-		assertThat(this.keeper.changesAfter(Versions.v(10)).changed()).containsExactly(upstream("c", 1));
+		assertThat(this.notified).isEqualTo(1);
+		assertThat(this.synchronizer.changesAfter(Versions.v(10)).changed()).containsExactly(upstream("c", 1));
 	}
 
-	// The history is gone, and everybody would have to list anew: what the new list has
-	// changed is told like any change.
+	// When the history of the store has been discarded, the changes found by listing are
+	// passed on to peers, which need not list themselves.
 	@Test
-	void whatANewListHasChangedIsKnownToThoseWhoAsk() {
+	void changesFoundByListingAreAvailableToPeers() {
 		this.watches.getFirst().accept(new StoreReply.Outdated<>());
 		this.lists.getLast()
 			.accept(new StoreReply.Found<>(
 					new UpstreamListing(List.of(upstream("a", 2), upstream("c", 1)), Versions.v(30))));
 
-		assertThat(this.keeper.changesAfter(Versions.v(10))).isEqualTo(new UpstreamChanges(Versions.v(10),
+		assertThat(this.synchronizer.changesAfter(Versions.v(10))).isEqualTo(new UpstreamChanges(Versions.v(10),
 				List.of(upstream("a", 2), upstream("c", 1)), List.of("b"), Versions.v(30)));
 	}
 
-	// Requests reach an upstream that has left: the wait that should have told of it was
-	// lost on the way, and its router and others take the list for the newest.
+	// Requests reach an upstream that has left: the watch that should have reported it
+	// was lost in transit, and the router and its peers would take the list for the
+	// newest.
 	@Test
-	void aWaitThatIsStillOpenProvesNothing() {
+	void anOpenWatchProvesNothing() {
 		this.nowMs += 5 * DRAIN_MS;
 
 		assertThat(this.watches).hasSize(1);
-		assertThat(this.keeper.state().ageMs()).isEqualTo(5 * DRAIN_MS);
+		assertThat(this.synchronizer.state().ageMs()).isEqualTo(5 * DRAIN_MS);
 	}
 
-	// An answer that was held up on its way tells how the list was when it was asked for.
+	// A delayed reply shows the list as of the time of its request.
 	@Test
-	void anAnswerProvesTheListAsOfItsQuestion() {
+	void aReplyProvesTheListAsOfItsRequest() {
 		this.nowMs += DRAIN_MS;
 		this.watches.getFirst()
 			.accept(new StoreReply.Found<>(new UpstreamChanges(Versions.v(10), List.of(), List.of(), Versions.v(11))));
 
-		assertThat(this.keeper.state().ageMs()).isEqualTo(DRAIN_MS);
+		assertThat(this.synchronizer.state().ageMs()).isEqualTo(DRAIN_MS);
 	}
 
-	// An upstream that lives is given up: it has written itself again after the store's
-	// return, and this router hasn't read since.
+	// A live upstream would be dropped although it registered again after the restore of
+	// the store, because this router has not read the store since.
 	@Test
-	void whoeverTheStoreHasLostIsGivenUpOnlyByALaterProof() {
-		this.keeper.storeRestored();
-		pass(DRAIN_MS);
+	void anUpstreamMissingAfterARestoreIsDroppedOnlyByALaterProof() {
+		this.synchronizer.storeRestored();
+		advanceTime(DRAIN_MS);
 		StoreVersion returned = new StoreVersion(1, 5);
 		this.lists.getLast().accept(new StoreReply.Found<>(new UpstreamListing(List.of(upstream("b", 1)), returned)));
-		pass(3 * DRAIN_MS);
+		advanceTime(3 * DRAIN_MS);
 		assertThat(this.directory.find("a")).isNotNull();
 
 		this.nowMs += 3 * DRAIN_MS;
-		hear(new UpstreamListState(returned.at(6), 5, 0, true));
-		pass(DRAIN_MS);
+		receive(new UpstreamListState(returned.at(6), 5, 0, true));
+		advanceTime(DRAIN_MS);
 		assertThat(this.directory.find("a")).isNull();
 	}
 
-	private void pass(long durationMs) {
+	private void advanceTime(long durationMs) {
 		this.channel.advanceTimeBy(durationMs, TimeUnit.MILLISECONDS);
 		this.channel.runScheduledPendingTasks();
 	}
 
-	private void hear(UpstreamListState state) {
-		this.keeper.peerStateReceived("10.0.0.2:1", state, this.nowMs);
+	private void receive(UpstreamListState state) {
+		this.synchronizer.peerStateReceived("10.0.0.2:1", state, this.nowMs);
 	}
 
 	private static Upstream upstream(String id, int slots) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/RestoredListFilterTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/RestoredListFilterTests.java
@@ -10,7 +10,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What holds of upstreams after the store came back from an older copy.
+ * Tests which entries of a list apply after the store was restored from an older copy.
  */
 class RestoredListFilterTests {
 
@@ -18,57 +18,59 @@
 
 	private static final StoreVersion AFTER = new StoreVersion(2, 90);
 
-	private final RestoredListFilter returned = new RestoredListFilter();
+	private final RestoredListFilter filter = new RestoredListFilter();
 
 	@Test
-	void whoeverSaidThatItLeavesStaysLeftUntilItWritesItselfAgain() {
-		UpstreamChanges news = first(List.of(upstream("a", 1, false)), List.of(), Map.of("a", upstream("a", 1, true)));
-		assertThat(news.changed()).isEmpty();
+	void aLeavingUpstreamStaysLeavingUntilItRegistersAgain() {
+		UpstreamChanges effective = first(List.of(upstream("a", 1, false)), List.of(),
+				Map.of("a", upstream("a", 1, true)));
+		assertThat(effective.changed()).isEmpty();
 
 		assertThat(later(upstream("a", 1, false)).changed()).isEmpty();
 
-		this.returned.written(changes(List.of(upstream("a", 1, false)), List.of()));
+		this.filter.recordWritten(changes(List.of(upstream("a", 1, false)), List.of()));
 		assertThat(later(upstream("a", 1, false)).changed()).hasSize(1);
 	}
 
 	@Test
-	void aLaterStartUnderTheSameNameServes() {
-		UpstreamChanges news = first(List.of(upstream("a", 2, false)), List.of(), Map.of("a", upstream("a", 1, true)));
+	void aLaterIncarnationOfTheSameNameIsAccepted() {
+		UpstreamChanges effective = first(List.of(upstream("a", 2, false)), List.of(),
+				Map.of("a", upstream("a", 1, true)));
 
-		assertThat(news.changed()).containsExactly(upstream("a", 2, false));
+		assertThat(effective.changed()).containsExactly(upstream("a", 2, false));
 	}
 
 	@Test
-	void whoeverHasGoneIsNotBroughtBackByTheCopy() {
-		UpstreamChanges news = this.returned.first(changes(List.of(upstream("a", 1, false)), List.of()), (id) -> null,
-				Set.of("a@1")::contains);
+	void anUpstreamThatHasGoneIsNotReaddedFromTheCopy() {
+		UpstreamChanges effective = this.filter.first(changes(List.of(upstream("a", 1, false)), List.of()),
+				(id) -> null, Set.of("a@1")::contains);
 
-		assertThat(news.changed()).isEmpty();
-		assertThat(this.returned.forgetOutlived()).isTrue();
+		assertThat(effective.changed()).isEmpty();
+		assertThat(this.filter.forgetStaleEntries()).isTrue();
 		assertThat(later(upstream("a", 1, false)).changed()).hasSize(1);
 	}
 
 	@Test
-	void whoeverTheCopyLacksIsMissingUntilItIsListedAgain() {
+	void anUpstreamThatTheCopyLacksIsMissingUntilItIsListedAgain() {
 		first(List.of(), List.of("a", "b"), Map.of());
-		assertThat(this.returned.missing()).containsExactlyInAnyOrder("a", "b");
+		assertThat(this.filter.missing()).containsExactlyInAnyOrder("a", "b");
 
 		UpstreamListing listing = new UpstreamListing(List.of(upstream("a", 1, false)), AFTER);
-		UpstreamChanges news = this.returned.later(listing, changes(List.of(), List.of("b")));
-		assertThat(news.removed()).isEmpty();
-		assertThat(news.changed()).containsExactly(upstream("a", 1, false));
-		assertThat(this.returned.missing()).containsExactly("b");
+		UpstreamChanges effective = this.filter.later(listing, changes(List.of(), List.of("b")));
+		assertThat(effective.removed()).isEmpty();
+		assertThat(effective.changed()).containsExactly(upstream("a", 1, false));
+		assertThat(this.filter.missing()).containsExactly("b");
 
-		this.returned.written(changes(List.of(), List.of("b")));
-		assertThat(this.returned.missing()).isEmpty();
+		this.filter.recordWritten(changes(List.of(), List.of("b")));
+		assertThat(this.filter.missing()).isEmpty();
 	}
 
 	private UpstreamChanges first(List<Upstream> changed, List<String> removed, Map<String, Upstream> known) {
-		return this.returned.first(changes(changed, removed), known::get, (incarnation) -> false);
+		return this.filter.first(changes(changed, removed), known::get, (incarnation) -> false);
 	}
 
 	private UpstreamChanges later(Upstream listed) {
-		return this.returned.later(new UpstreamListing(List.of(listed), AFTER), changes(List.of(listed), List.of()));
+		return this.filter.later(new UpstreamListing(List.of(listed), AFTER), changes(List.of(listed), List.of()));
 	}
 
 	private static UpstreamChanges changes(List<Upstream> changed, List<String> removed) {
