--- a/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -194,7 +194,7 @@
 			return this.knownEra;
 		}
 
-		private <T> void call(StoreEra.Query question, long limitMs, Consumer<Answer<T>> work,
+		private <T> void call(StoreEra.Query query, long limitMs, Consumer<Answer<T>> work,
 				Consumer<StoreReply<T>> done) {
 			boolean[] ended = new boolean[1];
 			Consumer<StoreReply<T>> once = (reply) -> {
@@ -209,17 +209,17 @@
 			}
 			later(delayMs(), () -> {
 				if (!SimulatedStore.this.unavailable) {
-					work.accept((reply) -> answer(question, reply, once));
+					work.accept((reply) -> answer(query, reply, once));
 				}
 			});
 		}
 
-		private <T> void answer(StoreEra.Query question, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
+		private <T> void answer(StoreEra.Query query, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
 			long replyEra = SimulatedStore.this.era;
 			if (!rarely(20)) {
 				later(delayMs(), () -> {
 					if (this.reach.now()) {
-						done.accept(this.knownEra.validate(question, replyEra, reply));
+						done.accept(this.knownEra.validate(query, replyEra, reply));
 					}
 				});
 			}
