--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -188,12 +188,12 @@
 	// The directory remembers ended incarnations permanently, while soon no stream is
 	// over one.
 	private boolean anyOverEndedEngine() {
-		if (!this.router.directory().anyEnded()) {
+		if (!this.router.directory().anySuperseded()) {
 			return false;
 		}
 		for (Attempt stream : this.streams) {
 			for (Hop hop : stream.target().path()) {
-				if (this.router.directory().ended(hop.engine().id())) {
+				if (this.router.directory().superseded(hop.engine().id())) {
 					return true;
 				}
 			}
@@ -241,7 +241,7 @@
 			.path()
 			.stream()
 			.filter((hop) -> this.suspicions.containsKey(hop.engine().id())
-					|| this.router.directory().ended(hop.engine().id()))
+					|| this.router.directory().superseded(hop.engine().id()))
 			.map((hop) -> hop.engine().address())
 			.findFirst();
 	}
@@ -332,7 +332,8 @@
 
 		private void onReply(Upstream upstream, long queriedMs, Optional<EngineReport> report) {
 			boolean wasPending = this.pending.remove(upstream.incarnation()) != null;
-			if (report.isPresent() && !EngineMonitor.this.router.directory().confirm(upstream, report.get())) {
+			if (report.isPresent()
+					&& !EngineMonitor.this.router.directory().confirmIncarnation(upstream, report.get())) {
 				this.replies++;
 				EngineMonitor.this.suspicions.remove(upstream.incarnation());
 				EngineMonitor.this.onChange.run();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -111,7 +111,7 @@
 		}
 		for (RoutedService service : configuration.services()) {
 			if (service.chained()) {
-				this.router.directory().staying(service.name()).forEach((state) -> survey(state.upstream()));
+				this.router.directory().active(service.name()).forEach((state) -> survey(state.upstream()));
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 			logger.atInfo()
 				.log("event=engine-state engine=%s domain=%s kind=%s listed=%s report=\"%s\"", upstream.incarnation(),
 						upstream.failureDomain(), upstream.kind(), upstream.held(), report.orElse(null));
-			if (report.isPresent() && !this.router.directory().confirm(upstream, report.get())) {
+			if (report.isPresent() && !this.router.directory().confirmIncarnation(upstream, report.get())) {
 				this.slowdowns.remove(upstream.incarnation());
 				return;
 			}
@@ -164,7 +164,7 @@
 		ModelProfile profile = service.model();
 		removeCompleted(profile);
 		List<Engine> state = new ArrayList<>();
-		for (UpstreamState upstream : this.router.directory().staying(service.name())) {
+		for (UpstreamState upstream : this.router.directory().active(service.name())) {
 			EngineKind kind = profile.kinds().get(upstream.upstream().kind());
 			if (kind != null && !this.router.engineMonitor().lost(upstream.upstream().incarnation())) {
 				state.add(engine(upstream.upstream(), kind));
@@ -250,8 +250,8 @@
 		this.pendingOrders.put(engine.id(), new PendingOrder(placement.layers(), this.router.nowMs()));
 		this.engines.queryStatus(engine.address(), STATUS_TIMEOUT_MS, (report) -> {
 			UpstreamState state = this.router.directory().find(engine.id());
-			if (state == null
-					|| (report.isPresent() && !this.router.directory().confirm(state.upstream(), report.get()))) {
+			if (state == null || (report.isPresent()
+					&& !this.router.directory().confirmIncarnation(state.upstream(), report.get()))) {
 				// The engine has restarted: it counts its orders from zero and holds
 				// none of the layers that the plan was based on.
 				logDropped(engine, "restarted-or-gone");
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -109,9 +109,9 @@
 
 	private final EngineControl engines;
 
-	private final ConfigurationKeeper configurationKeeper;
+	private final ConfigurationSynchronizer configurationSynchronizer;
 
-	private final DirectoryKeeper directoryKeeper;
+	private final DirectorySynchronizer directorySynchronizer;
 
 	private final Leadership leadership;
 
@@ -163,20 +163,21 @@
 		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().tellNow());
 		this.store = ports.store();
 		this.engines = ports.engines();
-		this.configurationKeeper = new ConfigurationKeeper(this.loop, ports.store(), this.proof, boot,
-				settings.bounds().configurationMs(), () -> directoryKeeper().runsAhead(), this::listenWhenInitialized,
-				ports.store().era(), this.random);
+		this.configurationSynchronizer = new ConfigurationSynchronizer(this.loop, ports.store(), this.proof, boot,
+				settings.bounds().configurationMs(), () -> directorySynchronizer().readsEarly(),
+				this::listenWhenInitialized, ports.store().era(), this.random);
 		this.leadership = new Leadership(this.loop, ports.store(), settings.name(), this.ticker,
 				() -> peers().hasLeader(nowMs()));
 		this.layerReconciler = new LayerReconciler(this, ports.engines(), this.leadership);
 		this.limits = new UpstreamLimits(this, this.random);
 		this.chooser = new TargetChooser(this.directory, this.peers, this.limits, this.layerReconciler.slowdowns(),
 				settings.failureDomain());
-		this.directoryKeeper = new DirectoryKeeper(this, ports.store(), new DirectoryListener(),
+		this.directorySynchronizer = new DirectorySynchronizer(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
-		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationKeeper,
-				this.directoryKeeper, this.layerReconciler, this.leadership, ports.store().era()));
-		ports.store().era().onReturn(this::storeRestored);
+		this.peerLink = new PeerLink(this, this.peers,
+				new PeerConversation(this, settings, this.configurationSynchronizer, this.directorySynchronizer,
+						this.layerReconciler, this.leadership, ports.store().era()));
+		ports.store().era().onRestore(this::storeRestored);
 	}
 
 	/**
@@ -184,13 +185,13 @@
 	 * loop, like the constructor, so that one thread at a time loads classes.
 	 */
 	public void start() {
-		this.configurationKeeper.start();
-		this.directoryKeeper.start();
+		this.configurationSynchronizer.start();
+		this.directorySynchronizer.start();
 		this.leadership.start();
 		this.layerReconciler.start();
 		Channel peerChannel = this.peerLink.start(this.settings.peers());
 		this.closer.register(peerChannel::close);
-		PeerDocuments documents = new PeerDocuments(this.configurationKeeper::document,
+		PeerDocuments documents = new PeerDocuments(this.configurationSynchronizer::document,
 				() -> this.proof.ageMs(this.boot.nowMs()));
 		listen(this.settings.peers(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), documents));
 		announce();
@@ -215,8 +216,8 @@
 		return this.peerLink;
 	}
 
-	private DirectoryKeeper directoryKeeper() {
-		return this.directoryKeeper;
+	private DirectorySynchronizer directorySynchronizer() {
+		return this.directorySynchronizer;
 	}
 
 	// Callers are accepted only once their requests can be served: a request that
@@ -230,7 +231,8 @@
 	}
 
 	private boolean initialized() {
-		return configuration() != null && this.configurationKeeper.confirmed() && this.directoryKeeper.listed();
+		return configuration() != null && this.configurationSynchronizer.confirmed()
+				&& this.directorySynchronizer.listed();
 	}
 
 	private void stopListening() {
@@ -243,7 +245,7 @@
 		this.store.announce(this.settings.name(), Addresses.text(this.settings.peers()), (reply) -> {
 			if (reply instanceof StoreReply.Found<List<String>> found) {
 				this.peers.addresses(found.value());
-				this.configurationKeeper.consulting(this.peerLink.askUnheard());
+				this.configurationSynchronizer.peersQueried(this.peerLink.askUnheard());
 				logger.atInfo().log("event=announced routers=%d", found.value().size());
 			}
 			else {
@@ -256,8 +258,8 @@
 	// only writes its own entries again, at a random time.
 	private void storeRestored() {
 		this.leadership.storeRestored();
-		this.configurationKeeper.storeReturned();
-		this.directoryKeeper.storeReturned();
+		this.configurationSynchronizer.storeRestored();
+		this.directorySynchronizer.storeRestored();
 		this.crashGuard.records().storeReturned();
 		long jitterMs = ANNOUNCE_JITTER_MS_PER_ROUTER * this.peers.sharers(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(jitterMs), TimeUnit.MILLISECONDS);
@@ -358,7 +360,7 @@
 		this.metrics.state("version", (configuration() != null) ? configuration().version() : -1);
 		this.metrics.state("proof_age_ms", this.proof.ageMs(this.boot.nowMs()));
 		this.metrics.state("store_era", this.store.era().current());
-		this.metrics.state("list_age_ms", this.directoryKeeper.state().ageMs());
+		this.metrics.state("list_age_ms", this.directorySynchronizer.state().ageMs());
 		this.metrics.state("upstreams", this.directory.size());
 		this.metrics.state("callers", this.callers.size());
 		this.metrics.state("limited_upstreams", this.limits.count());
@@ -383,7 +385,7 @@
 
 	@Override
 	public RoutingConfiguration configuration() {
-		return this.configurationKeeper.configuration();
+		return this.configurationSynchronizer.configuration();
 	}
 
 	@Override
@@ -488,7 +490,7 @@
 	}
 
 	/** Reacts to changes of the list of upstreams. */
-	private final class DirectoryListener implements DirectoryKeeper.Listener {
+	private final class DirectoryListener implements DirectorySynchronizer.Listener {
 
 		@Override
 		public void changed() {
@@ -497,12 +499,12 @@
 		}
 
 		@Override
-		public void tellOthers() {
+		public void notifyPeers() {
 			Router.this.peerLink.tellNow();
 		}
 
 		@Override
-		public void askForChanges(String address, StoreVersion after) {
+		public void requestChanges(String address, StoreVersion after) {
 			Router.this.peerLink.askForChanges(address, after);
 		}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ModelStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -15,10 +15,10 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * A store in simulated time, whose calls and answers are late or lost, and which comes
- * back from older copies of itself. For one thread.
+ * A store in simulated time whose calls and replies are delayed or lost, and which is
+ * restored from older copies of itself. Not thread-safe.
  */
-final class ModelStore {
+final class SimulatedStore {
 
 	private static final long CALL_MS = 1000;
 
@@ -33,7 +33,7 @@
 
 	private final List<State> history = new ArrayList<>();
 
-	private final List<Wait> waits = new ArrayList<>();
+	private final List<Watch> watches = new ArrayList<>();
 
 	private State state = new State(1, Map.of(), 1, null);
 
@@ -43,16 +43,16 @@
 
 	private long order;
 
-	private boolean away;
+	private boolean unavailable;
 
 	private boolean calm;
 
 	/**
-	 * A store.
-	 * @param random the source of chance
-	 * @param peers the configuration of a router, by its address
+	 * Creates a store.
+	 * @param random the source of randomness
+	 * @param peers returns the configuration of a router by its address
 	 */
-	ModelStore(Random random, Function<String, StoreReply<FleetStore.Fetched>> peers) {
+	SimulatedStore(Random random, Function<String, StoreReply<FleetStore.Fetched>> peers) {
 		this.random = random;
 		this.peers = peers;
 	}
@@ -65,7 +65,7 @@
 		return this.era;
 	}
 
-	/** From now on nothing is late or lost. */
+	/** Stops all delays and losses. */
 	void calm() {
 		this.calm = true;
 	}
@@ -74,8 +74,8 @@
 		return !this.calm && this.random.nextInt(oneIn) == 0;
 	}
 
-	boolean away() {
-		return this.away;
+	boolean unavailable() {
+		return this.unavailable;
 	}
 
 	long configurationVersion() {
@@ -106,7 +106,7 @@
 		upstreams.put(upstream.id(), upstream);
 		write(new State(this.state.revision + 1, Map.copyOf(upstreams), this.state.configurationVersion,
 				this.state.lease));
-		List.copyOf(this.waits).forEach(Wait::end);
+		List.copyOf(this.watches).forEach(Watch::end);
 	}
 
 	private void write(State newer) {
@@ -114,12 +114,15 @@
 		this.state = newer;
 	}
 
-	/** Is away for a while, and then comes back as it was some writes ago. */
-	void comeBack(int writesAgo, long awayMs) {
-		this.away = true;
-		this.waits.clear();
-		later(awayMs, () -> {
-			this.away = false;
+	/**
+	 * Makes the store unavailable for a while, then restores its state of some writes
+	 * ago.
+	 */
+	void restore(int writesAgo, long unavailableMs) {
+		this.unavailable = true;
+		this.watches.clear();
+		later(unavailableMs, () -> {
+			this.unavailable = false;
 			this.era++;
 			for (int write = 0; write < writesAgo && !this.history.isEmpty(); write++) {
 				this.state = this.history.removeLast();
@@ -128,12 +131,12 @@
 	}
 
 	/**
-	 * What a router sees of it.
-	 * @param reaches whether its calls and their answers get through now
-	 * @param eraHeard the router's era
+	 * Returns the store as one router sees it.
+	 * @param reaches whether calls and replies of the router get through at present
+	 * @param eraReceived the era as the router knows it
 	 */
-	FleetStore seenBy(Reach reaches, StoreEra eraHeard) {
-		return new View(reaches, eraHeard);
+	FleetStore seenBy(Reach reaches, StoreEra eraReceived) {
+		return new View(reaches, eraReceived);
 	}
 
 	static ConfigurationDocument document(long version) {
@@ -141,7 +144,7 @@
 				new RoutingConfiguration(version, List.of(), List.of(), CallerLimits.DEFAULT, List.of()), new byte[0]);
 	}
 
-	/** Whether a router reaches the store. */
+	/** Tells whether a router reaches the store. */
 	interface Reach {
 
 		boolean now();
@@ -157,41 +160,41 @@
 	private record Lease(String holder, long fencing, String nonce, long revision) {
 	}
 
-	/** A wait for changes that is open. */
-	private final class Wait {
+	/** An open watch for changes. */
+	private final class Watch {
 
 		private final Runnable answer;
 
-		private Wait(Runnable answer) {
+		private Watch(Runnable answer) {
 			this.answer = answer;
 		}
 
 		private void end() {
-			if (ModelStore.this.waits.remove(this)) {
+			if (SimulatedStore.this.watches.remove(this)) {
 				this.answer.run();
 			}
 		}
 
 	}
 
-	/** The store by the calls of one router. */
+	/** The store as seen by one router. */
 	private final class View implements FleetStore {
 
 		private final Reach reach;
 
-		private final StoreEra heard;
+		private final StoreEra knownEra;
 
-		private View(Reach reach, StoreEra heard) {
+		private View(Reach reach, StoreEra knownEra) {
 			this.reach = reach;
-			this.heard = heard;
+			this.knownEra = knownEra;
 		}
 
 		@Override
 		public StoreEra era() {
-			return this.heard;
+			return this.knownEra;
 		}
 
-		private <T> void call(StoreEra.Question question, long limitMs, Consumer<Answer<T>> work,
+		private <T> void call(StoreEra.Query query, long limitMs, Consumer<Answer<T>> work,
 				Consumer<StoreReply<T>> done) {
 			boolean[] ended = new boolean[1];
 			Consumer<StoreReply<T>> once = (reply) -> {
@@ -205,74 +208,74 @@
 				return;
 			}
 			later(delayMs(), () -> {
-				if (!ModelStore.this.away) {
-					work.accept((reply) -> answer(question, reply, once));
+				if (!SimulatedStore.this.unavailable) {
+					work.accept((reply) -> answer(query, reply, once));
 				}
 			});
 		}
 
-		private <T> void answer(StoreEra.Question question, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
-			long saidEra = ModelStore.this.era;
+		private <T> void answer(StoreEra.Query query, StoreReply<T> reply, Consumer<StoreReply<T>> done) {
+			long replyEra = SimulatedStore.this.era;
 			if (!rarely(20)) {
 				later(delayMs(), () -> {
 					if (this.reach.now()) {
-						done.accept(this.heard.judge(question, saidEra, reply));
+						done.accept(this.knownEra.validate(query, replyEra, reply));
 					}
 				});
 			}
 		}
 
 		private long delayMs() {
-			return rarely(15) ? ModelStore.this.random.nextInt(3000) : 1 + ModelStore.this.random.nextInt(20);
+			return rarely(15) ? SimulatedStore.this.random.nextInt(3000) : 1 + SimulatedStore.this.random.nextInt(20);
 		}
 
 		@Override
 		public void readConfiguration(Consumer<StoreReply<ConfigurationDocument>> done) {
-			this.<ConfigurationDocument>call(this.heard.free(), CALL_MS, (answer) -> answer
-				.give(new StoreReply.Found<>(document(ModelStore.this.state.configurationVersion))), done);
+			this.<ConfigurationDocument>call(this.knownEra.unboundQuery(), CALL_MS, (answer) -> answer
+				.send(new StoreReply.Found<>(document(SimulatedStore.this.state.configurationVersion))), done);
 		}
 
 		@Override
 		public void fetchConfiguration(String peerAddress, Consumer<StoreReply<Fetched>> done) {
-			later(delayMs(), () -> done.accept(ModelStore.this.peers.apply(peerAddress)));
+			later(delayMs(), () -> done.accept(SimulatedStore.this.peers.apply(peerAddress)));
 		}
 
 		@Override
 		public void listUpstreams(Consumer<StoreReply<UpstreamListing>> done) {
-			this.<UpstreamListing>call(this.heard.free(), CALL_MS, (answer) -> {
-				State now = ModelStore.this.state;
-				answer.give(new StoreReply.Found<>(new UpstreamListing(List.copyOf(now.upstreams.values()),
-						new StoreVersion(ModelStore.this.era, now.revision))));
+			this.<UpstreamListing>call(this.knownEra.unboundQuery(), CALL_MS, (answer) -> {
+				State now = SimulatedStore.this.state;
+				answer.send(new StoreReply.Found<>(new UpstreamListing(List.copyOf(now.upstreams.values()),
+						new StoreVersion(SimulatedStore.this.era, now.revision))));
 			}, done);
 		}
 
 		@Override
 		public void watchUpstreams(StoreVersion after, long waitMs, Consumer<StoreReply<UpstreamChanges>> done) {
-			this.<UpstreamChanges>call(this.heard.tied(after.era()), waitMs + CALL_MS, (answer) -> {
-				if (after.revision() > ModelStore.this.state.revision) {
-					answer.give(new StoreReply.Outdated<>());
+			this.<UpstreamChanges>call(this.knownEra.boundQuery(after.era()), waitMs + CALL_MS, (answer) -> {
+				if (after.revision() > SimulatedStore.this.state.revision) {
+					answer.send(new StoreReply.Outdated<>());
 					return;
 				}
-				Wait wait = new Wait(() -> answer.give(new StoreReply.Found<>(changes(after))));
-				ModelStore.this.waits.add(wait);
+				Watch watch = new Watch(() -> answer.send(new StoreReply.Found<>(changes(after))));
+				SimulatedStore.this.watches.add(watch);
 				if (changes(after).size() > 0) {
-					wait.end();
+					watch.end();
 				}
-				later(waitMs, wait::end);
+				later(waitMs, watch::end);
 			}, done);
 		}
 
 		private UpstreamChanges changes(StoreVersion after) {
-			Map<String, Upstream> then = ModelStore.this.history.stream()
+			Map<String, Upstream> then = SimulatedStore.this.history.stream()
 				.filter((state) -> state.revision == after.revision())
 				.findFirst()
-				.orElse(ModelStore.this.state)
+				.orElse(SimulatedStore.this.state)
 				.upstreams();
-			List<Upstream> changed = ModelStore.this.state.upstreams.values()
+			List<Upstream> changed = SimulatedStore.this.state.upstreams.values()
 				.stream()
 				.filter((upstream) -> !upstream.equals(then.get(upstream.id())))
 				.toList();
-			return new UpstreamChanges(after, changed, List.of(), after.at(ModelStore.this.state.revision));
+			return new UpstreamChanges(after, changed, List.of(), after.at(SimulatedStore.this.state.revision));
 		}
 
 		@Override
@@ -282,24 +285,24 @@
 
 		@Override
 		public void readLease(Consumer<StoreReply<LeaseObject>> done) {
-			this.<LeaseObject>call(this.heard.free(), LEASE_CALL_MS, (answer) -> {
-				Lease lease = ModelStore.this.state.lease;
-				answer.give((lease != null) ? new StoreReply.Found<>(object(lease)) : new StoreReply.Absent<>());
+			this.<LeaseObject>call(this.knownEra.unboundQuery(), LEASE_CALL_MS, (answer) -> {
+				Lease lease = SimulatedStore.this.state.lease;
+				answer.send((lease != null) ? new StoreReply.Found<>(object(lease)) : new StoreReply.Absent<>());
 			}, done);
 		}
 
 		@Override
 		public void writeLease(LeaseObject lease, Consumer<StoreReply<LeaseObject>> done) {
-			this.<LeaseObject>call(this.heard.tied(lease.version().era()), LEASE_CALL_MS, (answer) -> {
-				State now = ModelStore.this.state;
-				long standing = (now.lease != null) ? now.lease.revision : 0;
-				if (standing != lease.version().revision()) {
-					answer.give(new StoreReply.Outdated<>());
+			this.<LeaseObject>call(this.knownEra.boundQuery(lease.version().era()), LEASE_CALL_MS, (answer) -> {
+				State now = SimulatedStore.this.state;
+				long currentRevision = (now.lease != null) ? now.lease.revision : 0;
+				if (currentRevision != lease.version().revision()) {
+					answer.send(new StoreReply.Outdated<>());
 					return;
 				}
 				Lease written = new Lease(lease.holder(), lease.fencing(), lease.nonce(), now.revision + 1);
 				write(new State(now.revision + 1, now.upstreams, now.configurationVersion, written));
-				answer.give(new StoreReply.Found<>(object(written)));
+				answer.send(new StoreReply.Found<>(object(written)));
 			}, done);
 		}
 
@@ -320,15 +323,15 @@
 
 		private LeaseObject object(Lease lease) {
 			return new LeaseObject(lease.holder, lease.fencing, lease.nonce,
-					new StoreVersion(ModelStore.this.era, lease.revision));
+					new StoreVersion(SimulatedStore.this.era, lease.revision));
 		}
 
 	}
 
-	/** Gives a reply on its way. */
+	/** Sends a reply. */
 	private interface Answer<T> {
 
-		void give(StoreReply<T> reply);
+		void send(StoreReply<T> reply);
 
 	}
 
