--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
@@ -48,7 +48,7 @@
 		RequestRecord record = record(head);
 		Outcome outcome = new Outcome.NotRun(refused.refusal());
 		record.end(outcome);
-		return Optional.of(Answers.refusal(outcome, refused.refusal(), record.requestId()));
+		return Optional.of(ErrorReplies.refusal(outcome, refused.refusal(), record.requestId()));
 	}
 
 	@Override
@@ -99,7 +99,7 @@
 
 	private static Outcome notRun(Exchange exchange, RequestRecord record, Refusal refusal) {
 		Outcome outcome = new Outcome.NotRun(refusal);
-		exchange.reply(Answers.refusal(outcome, refusal, record.requestId()));
+		exchange.reply(ErrorReplies.refusal(outcome, refusal, record.requestId()));
 		return outcome;
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -100,7 +100,7 @@
 
 	private static Outcome refuse(Exchange exchange, RequestRecord record, Refusal refusal) {
 		Outcome outcome = new Outcome.NotRun(refusal);
-		exchange.reply(Answers.refusal(outcome, refusal, record.requestId()));
+		exchange.reply(ErrorReplies.refusal(outcome, refusal, record.requestId()));
 		return outcome;
 	}
 
@@ -169,17 +169,17 @@
 			begin();
 			event(chunk("", "length").toString());
 			event("[DONE]");
-			this.exchange.end(List.of(Map.entry(Answers.OUTCOME, "answered")));
+			this.exchange.end(List.of(Map.entry(ErrorReplies.OUTCOME, "answered")));
 		}
 
 		void broken(Outcome outcome, Refusal refusal) {
 			if (!this.begun) {
-				this.exchange.reply(Answers.refusal(outcome, refusal, this.record.requestId()));
+				this.exchange.reply(ErrorReplies.refusal(outcome, refusal, this.record.requestId()));
 				return;
 			}
 			ObjectNode node = Json.object();
-			node.put(Answers.OUTCOME, outcome.headerValue());
-			node.set("error", Answers.error(refusal, this.record.requestId()));
+			node.put(ErrorReplies.OUTCOME, outcome.headerValue());
+			node.set("error", ErrorReplies.error(refusal, this.record.requestId()));
 			event(node.toString());
 			this.exchange.abort();
 		}
@@ -194,8 +194,8 @@
 		private List<Map.Entry<String, String>> headers(String contentType) {
 			List<Map.Entry<String, String>> headers = new ArrayList<>();
 			headers.add(Map.entry("content-type", contentType));
-			headers.add(Map.entry(Answers.OUTCOME, "answered"));
-			headers.add(Map.entry(Answers.REQUEST_ID, this.record.requestId()));
+			headers.add(Map.entry(ErrorReplies.OUTCOME, "answered"));
+			headers.add(Map.entry(ErrorReplies.REQUEST_ID, this.record.requestId()));
 			if (!this.body.ignored().isEmpty()) {
 				headers.add(Map.entry("whin-ignored", String.join(",", this.body.ignored())));
 			}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Answers.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ErrorReplies.java
@@ -9,13 +9,13 @@
 /**
  * The form of answers that carry no work. Stateless.
  */
-final class Answers {
+final class ErrorReplies {
 
 	static final String OUTCOME = "whin-outcome";
 
 	static final String REQUEST_ID = "whin-request-id";
 
-	private Answers() {
+	private ErrorReplies() {
 	}
 
 	static Reply refusal(Outcome outcome, Refusal refusal, String requestId) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -46,7 +46,7 @@
 	/** Headers of one hop, of the caller's identity, and of this system's own. */
 	private static final Set<String> NOT_PASSED = Set.of("connection", "keep-alive", "proxy-authenticate",
 			"proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade", "host", "content-length",
-			"authorization", "expect", "http2-settings", "traceparent", Answers.OUTCOME, Answers.REQUEST_ID);
+			"authorization", "expect", "http2-settings", "traceparent", ErrorReplies.OUTCOME, ErrorReplies.REQUEST_ID);
 
 	private final EntryParts parts;
 
@@ -149,8 +149,8 @@
 					"The action ran with status " + answer.status() + "; its answer was too large to keep."));
 		}
 		sending.exchange
-			.reply(new Reply(answer.status(), answer.headers(), answer.body()).with(Answers.OUTCOME, "answered")
-				.with(Answers.REQUEST_ID, sending.record.requestId())
+			.reply(new Reply(answer.status(), answer.headers(), answer.body()).with(ErrorReplies.OUTCOME, "answered")
+				.with(ErrorReplies.REQUEST_ID, sending.record.requestId())
 				.with("whin-replayed", "true"));
 		return new Outcome.Answered();
 	}
@@ -220,7 +220,7 @@
 		Map<String, String> trace = new HashMap<>();
 		this.parts.tracing().inject(sending.record.span(), trace);
 		trace.forEach((name, value) -> headers.add(Map.entry(name, value)));
-		headers.add(Map.entry(Answers.REQUEST_ID, sending.record.requestId()));
+		headers.add(Map.entry(ErrorReplies.REQUEST_ID, sending.record.requestId()));
 		return headers;
 	}
 
@@ -229,8 +229,8 @@
 			case Sent.Answered answered -> {
 				sending.exchange.reply(new Reply(answered.response().status(), passed(answered.response().headers()),
 						answered.response().body())
-					.with(Answers.OUTCOME, "answered")
-					.with(Answers.REQUEST_ID, sending.record.requestId()));
+					.with(ErrorReplies.OUTCOME, "answered")
+					.with(ErrorReplies.REQUEST_ID, sending.record.requestId()));
 				yield new Outcome.Answered();
 			}
 			case Sent.NotSent notSent -> notRun(sending.exchange, sending.record, notSent.refusal());
@@ -256,13 +256,13 @@
 
 	private static Outcome notRun(Exchange exchange, RequestRecord record, Refusal refusal) {
 		Outcome outcome = new Outcome.NotRun(refusal);
-		exchange.reply(Answers.refusal(outcome, refusal, record.requestId()));
+		exchange.reply(ErrorReplies.refusal(outcome, refusal, record.requestId()));
 		return outcome;
 	}
 
 	private static Outcome unknown(Sending sending, Refusal refusal) {
 		Outcome outcome = new Outcome.Unknown(refusal);
-		sending.exchange.reply(Answers.refusal(outcome, refusal, sending.record.requestId()));
+		sending.exchange.reply(ErrorReplies.refusal(outcome, refusal, sending.record.requestId()));
 		return outcome;
 	}
 
