--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -36,11 +36,11 @@
 	 * @return {@code null} where it may run, and {@link AdmissionQueue#leave} has to
 	 * follow; else the refusal
 	 */
-	static Refusal enter(EntryParts parts, AdmissionQueue queue, Team team, long allowedMs, Exchange exchange) {
-		if (!mayEnd(parts, queue)) {
+	static Refusal enter(EntryContext context, AdmissionQueue queue, Team team, long allowedMs, Exchange exchange) {
+		if (!mayEnd(context, queue)) {
 			return Gate.stoppingRefusal();
 		}
-		long waitMs = parts.limits().tryStart(team, parts.members().alive().size(), parts.ticker().nowMs());
+		long waitMs = context.limits().tryStart(team, context.members().alive().size(), context.ticker().nowMs());
 		if (waitMs > 0) {
 			return Refusal.temporary(Code.TEAM_LIMIT, "Team '" + team.name() + "' is above its rate.", seconds(waitMs));
 		}
@@ -52,22 +52,22 @@
 			case Ticket.Refused refused -> Refusal.temporary(Code.DEADLINE, "The answer would come after its deadline.",
 					seconds(refused.comeBackMs()));
 			case Ticket.Waiting waiting ->
-				await(parts, queue, team, AdmissionQueue.waitMs(allowedMs), exchange, waiting);
+				await(context, queue, team, AdmissionQueue.waitMs(allowedMs), exchange, waiting);
 		};
 	}
 
-	private static Refusal await(EntryParts parts, AdmissionQueue queue, Team team, long waitMs, Exchange exchange,
+	private static Refusal await(EntryContext context, AdmissionQueue queue, Team team, long waitMs, Exchange exchange,
 			Ticket.Waiting waiting) {
-		long endMs = parts.ticker().nowMs() + waitMs;
+		long endMs = context.ticker().nowMs() + waitMs;
 		while (true) {
-			long leftMs = endMs - parts.ticker().nowMs();
+			long leftMs = endMs - context.ticker().nowMs();
 			try {
 				boolean runs = waiting.turn().get(Math.max(1, Math.min(LOOK_EVERY_MS, leftMs)), TimeUnit.MILLISECONDS);
 				return runs ? null : Refusal.temporary(Code.OVERLOADED,
 						"More work of the team is waiting than can be done; another team came first.", 1);
 			}
 			catch (TimeoutException ex) {
-				boolean mayEnd = mayEnd(parts, queue);
+				boolean mayEnd = mayEnd(context, queue);
 				boolean over = leftMs <= 0 || exchange.gone() || !mayEnd;
 				if (over && queue.giveUp(team.name(), waiting)) {
 					return mayEnd
@@ -85,8 +85,8 @@
 		}
 	}
 
-	private static boolean mayEnd(EntryParts parts, AdmissionQueue queue) {
-		return parts.gate().leavesTimeFor(queue.usualMs());
+	private static boolean mayEnd(EntryContext context, AdmissionQueue queue) {
+		return context.gate().leavesTimeFor(queue.usualMs());
 	}
 
 	private static int seconds(long milliseconds) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
@@ -25,7 +25,7 @@
 
 	private static final int ID_BYTES = 8;
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
 	private final DraftHandler drafts;
 
@@ -33,16 +33,16 @@
 
 	private final InProgress inProgress;
 
-	CallerHandler(EntryParts parts, InProgress inProgress) {
-		this.parts = parts;
-		this.drafts = new DraftHandler(parts);
-		this.services = new ServiceHandler(parts);
+	CallerHandler(EntryContext context, InProgress inProgress) {
+		this.context = context;
+		this.drafts = new DraftHandler(context);
+		this.services = new ServiceHandler(context);
 		this.inProgress = inProgress;
 	}
 
 	@Override
 	public Optional<Reply> refuseEarly(Request head) {
-		if (!(this.parts.gate().check(head) instanceof Verdict.Refused refused)) {
+		if (!(this.context.gate().check(head) instanceof Verdict.Refused refused)) {
 			return Optional.empty();
 		}
 		RequestRecord record = record(head);
@@ -67,7 +67,7 @@
 
 	private Outcome route(Exchange exchange, RequestRecord record) {
 		// Judged again: the body may have taken its time.
-		Verdict verdict = this.parts.gate().check(exchange.request());
+		Verdict verdict = this.context.gate().check(exchange.request());
 		if (verdict instanceof Verdict.Refused refused) {
 			return notRun(exchange, record, refused.refusal());
 		}
@@ -93,8 +93,8 @@
 		ThreadLocalRandom.current().nextBytes(id);
 		Map<String, String> headers = new HashMap<>();
 		request.headers().forEach((header) -> headers.putIfAbsent(header.getKey(), header.getValue()));
-		Span span = this.parts.tracing().callerLeg("caller " + request.method(), headers);
-		return new RequestRecord(this.parts, "r-" + HexFormat.of().formatHex(id), span);
+		Span span = this.context.tracing().callerLeg("caller " + request.method(), headers);
+		return new RequestRecord(this.context, "r-" + HexFormat.of().formatHex(id), span);
 	}
 
 	private static Outcome notRun(Exchange exchange, RequestRecord record, Refusal refusal) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -29,17 +29,17 @@
  */
 final class DraftHandler {
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
-	DraftHandler(EntryParts parts) {
-		this.parts = parts;
+	DraftHandler(EntryContext context) {
+		this.context = context;
 	}
 
 	Outcome handle(Exchange exchange, RequestRecord record, Gate.Verdict.Passed passed, boolean chat) {
 		DraftBody body;
 		try {
-			body = DraftBody.parse(exchange.request().body(), chat, this.parts.settings().limits().promptChars(),
-					this.parts.settings().limits().draftTokens());
+			body = DraftBody.parse(exchange.request().body(), chat, this.context.settings().limits().promptChars(),
+					this.context.settings().limits().draftTokens());
 		}
 		catch (DraftBody.BadBody ex) {
 			return refuse(exchange, record, Refusal.permanent(Code.BAD_REQUEST, ex.getMessage()));
@@ -48,37 +48,37 @@
 			return refuse(exchange, record, Gate.unknownService(passed, body.model()));
 		}
 		record.service(model.name());
-		Span waiting = this.parts.tracing().part(record.span(), "admission");
-		Refusal refusal = Admission.enter(this.parts, this.parts.drafts(), passed.team(), model.answerDeadlineMs(),
+		Span waiting = this.context.tracing().part(record.span(), "admission");
+		Refusal refusal = Admission.enter(this.context, this.context.drafts(), passed.team(), model.answerDeadlineMs(),
 				exchange);
 		waiting.end();
 		if (refusal != null) {
 			return refuse(exchange, record, refusal);
 		}
-		long enteredMs = this.parts.ticker().nowMs();
+		long enteredMs = this.context.ticker().nowMs();
 		try {
 			return run(exchange, record, passed, model,
 					new Writer(exchange, record, body, chat, enteredMs, model.answerDeadlineMs()));
 		}
 		finally {
-			long nowMs = this.parts.ticker().nowMs();
-			this.parts.drafts().leave(passed.team().name(), nowMs - enteredMs, nowMs);
+			long nowMs = this.context.ticker().nowMs();
+			this.context.drafts().leave(passed.team().name(), nowMs - enteredMs, nowMs);
 		}
 	}
 
 	private Outcome run(Exchange exchange, RequestRecord record, Gate.Verdict.Passed passed, Service.Model model,
 			Writer writer) {
 		DraftRequest request = new DraftRequest(record.requestId(), model,
-				() -> this.parts.gate().placement(passed.team().name()),
-				(over) -> this.parts.gate().awaitPlacement(passed.team().name(), over), writer.body.prompt(),
+				() -> this.context.gate().placement(passed.team().name()),
+				(over) -> this.context.gate().awaitPlacement(passed.team().name(), over), writer.body.prompt(),
 				writer.body.maxTokens(), record.startedAtMs() + model.answerDeadlineMs());
-		DraftResult result = new DraftSession(request, this.parts.chooser(), this.parts.upstreams(),
-				this.parts.engines(), this.parts.budget(), this.parts.ticker())
+		DraftResult result = new DraftSession(request, this.context.chooser(), this.context.upstreams(),
+				this.context.engines(), this.context.budget(), this.context.ticker())
 			.run(writer);
 		record.hops(result.hops());
 		result.hops().forEach((hop) -> trace(record.span(), hop));
-		this.parts.metrics().retried(model.name(), result.attempts() - 1);
-		this.parts.metrics().tokens(model.name(), result.tokens().size());
+		this.context.metrics().retried(model.name(), result.attempts() - 1);
+		this.context.metrics().tokens(model.name(), result.tokens().size());
 		switch (result.outcome()) {
 			case Outcome.Answered ignored -> writer.whole(result.tokens());
 			case Outcome.NotRun notRun -> writer.broken(result.outcome(), notRun.refusal());
@@ -95,7 +95,7 @@
 			.put("whin.attempt", hop.attempt())
 			.put("whin.steps", hop.steps())
 			.build();
-		this.parts.tracing().endedHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
+		this.context.tracing().endedHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
 	}
 
 	private static Outcome refuse(Exchange exchange, RequestRecord record, Refusal refusal) {
@@ -136,7 +136,7 @@
 
 		@Override
 		public void token(String token) {
-			EntryParts entry = DraftHandler.this.parts;
+			EntryContext entry = DraftHandler.this.context;
 			long nowMs = entry.ticker().nowMs();
 			if (this.count++ == 0) {
 				entry.metrics().firstToken(this.body.model(), nowMs - this.record.startedAtMs());
@@ -156,7 +156,7 @@
 
 		@Override
 		public boolean stopping() {
-			return !DraftHandler.this.parts.gate().leavesTimeFor(0);
+			return !DraftHandler.this.context.gate().leavesTimeFor(0);
 		}
 
 		void whole(List<String> tokens) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -92,7 +92,7 @@
 
 	private final InProgress inProgress = new InProgress();
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
 	private final HttpServer callers;
 
@@ -127,7 +127,7 @@
 		ActionClaims claims = new ActionClaims(store, () -> UUID.randomUUID().toString(),
 				() -> System.currentTimeMillis() / 1000);
 		Gate gate = new Gate(configuration, freshness, settings.failureDomain(), this.ticker);
-		this.parts = new EntryParts(settings, this.ticker, gate, upstreams, members, limits,
+		this.context = new EntryContext(settings, this.ticker, gate, upstreams, members, limits,
 				new AdmissionQueue(ConcurrencyLimit.learned(settings.limits().streams()), settings.limits().waiting()),
 				new AdmissionQueue(ConcurrencyLimit.learned(settings.limits().plainCalls()),
 						settings.limits().plainCalls()),
@@ -145,9 +145,9 @@
 		this.callers = this.closer.register(HttpServer.start(
 				new HttpServerSettings(settings.host(), settings.callerPort(), settings.limits().bodyBytes(),
 						settings.limits().headerBytes(), settings.timing().requestMs(), callerTls(tls)),
-				new CallerHandler(this.parts, this.inProgress)));
+				new CallerHandler(this.context, this.inProgress)));
 		this.operators = this.closer.register(HttpServer
-			.start(HttpServerSettings.plain(settings.host(), settings.operatorPort()), new OperatorHandler(this.parts,
+			.start(HttpServerSettings.plain(settings.host(), settings.operatorPort()), new OperatorHandler(this.context,
 					configuration, freshness, this.inProgress, () -> Thread.startVirtualThread(() -> System.exit(0)))));
 		logger.atInfo().log("entry %s serves callers on port %d", settings.id(), this.callers.port());
 	}
@@ -187,10 +187,10 @@
 		logger.atInfo()
 			.log("entry %s is stopping, %d in progress, handled %d ms late", this.settings.id(),
 					this.inProgress.count(), handledMs - signalledMs);
-		this.parts.gate().endsAt(endsAtMs);
+		this.context.gate().endsAt(endsAtMs);
 		this.callers.endConnections();
-		this.parts.members().leave(this.ticker.nowMs());
-		this.parts.gate().stopAfter(refusesAtMs - this.ticker.nowMs());
+		this.context.members().leave(this.ticker.nowMs());
+		this.context.gate().stopAfter(refusesAtMs - this.ticker.nowMs());
 		this.callers.refuseArriving();
 		int left = this.inProgress.awaitNone(endsAtMs - this.ticker.nowMs());
 		if (left > 0) {
@@ -226,7 +226,7 @@
 			return true;
 		});
 		loop("claims", 1000, () -> {
-			this.parts.metrics().state("given_up_claims", this.parts.claims().sweepGivenUp());
+			this.context.metrics().state("given_up_claims", this.context.claims().sweepGivenUp());
 			return true;
 		});
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/EntryParts.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/EntryContext.java
@@ -34,7 +34,7 @@
  * @param tracing traces
  * @param decisions the newest decisions
  */
-record EntryParts(EntrySettings settings, Ticker ticker, Gate gate, UpstreamTable upstreams, MembershipTable members,
+record EntryContext(EntrySettings settings, Ticker ticker, Gate gate, UpstreamTable upstreams, MembershipTable members,
 		TeamLimits limits, AdmissionQueue drafts, AdmissionQueue calls, PipelineChooser chooser, EngineClient engines,
 		HttpCaller caller, ActionClaims claims, RetryBudget budget, EntryMetrics metrics, Tracing tracing,
 		DecisionLog decisions) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
@@ -25,7 +25,7 @@
 
 	private static final String EXPLAIN = "/explain/";
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
 	private final ConfigurationHolder configuration;
 
@@ -35,9 +35,9 @@
 
 	private final Runnable drain;
 
-	OperatorHandler(EntryParts parts, ConfigurationHolder configuration, Freshness freshness, InProgress inProgress,
+	OperatorHandler(EntryContext context, ConfigurationHolder configuration, Freshness freshness, InProgress inProgress,
 			Runnable drain) {
-		this.parts = parts;
+		this.context = context;
 		this.configuration = configuration;
 		this.freshness = freshness;
 		this.inProgress = inProgress;
@@ -52,7 +52,7 @@
 	private Reply route(Request request) {
 		String path = request.path();
 		if (path.startsWith(EXPLAIN)) {
-			String decision = this.parts.decisions().find(path.substring(EXPLAIN.length()));
+			String decision = this.context.decisions().find(path.substring(EXPLAIN.length()));
 			return (decision != null) ? Reply.json(200, decision) : Reply.json(404, "{}");
 		}
 		return switch (request.method() + " " + path) {
@@ -73,40 +73,40 @@
 	}
 
 	private Reply ready() {
-		boolean ready = serving() && this.parts.gate().ready();
+		boolean ready = serving() && this.context.gate().ready();
 		return ready ? Reply.text(200, "ready\n") : Reply.text(503, "not ready\n");
 	}
 
 	private boolean serving() {
 		return this.configuration.configuration().revision() > 0
-				&& this.freshness.mayServe(this.parts.ticker().nowMs());
+				&& this.freshness.mayServe(this.context.ticker().nowMs());
 	}
 
 	private Reply metrics() {
-		this.parts.metrics().state("running", this.parts.drafts().running());
-		this.parts.metrics().state("limit", this.parts.drafts().limit());
-		this.parts.metrics().state("waiting", this.parts.drafts().waiting());
-		this.parts.metrics().state("revision", this.configuration.configuration().revision());
-		this.parts.metrics().state("confirmation_age_ms", this.freshness.ageMs(this.parts.ticker().nowMs()));
-		this.parts.metrics().state("members", this.parts.members().alive().size());
+		this.context.metrics().state("running", this.context.drafts().running());
+		this.context.metrics().state("limit", this.context.drafts().limit());
+		this.context.metrics().state("waiting", this.context.drafts().waiting());
+		this.context.metrics().state("revision", this.configuration.configuration().revision());
+		this.context.metrics().state("confirmation_age_ms", this.freshness.ageMs(this.context.ticker().nowMs()));
+		this.context.metrics().state("members", this.context.members().alive().size());
 		return new Reply(200, List.of(Map.entry("content-type", "text/plain; version=0.0.4")),
-				this.parts.metrics().text());
+				this.context.metrics().text());
 	}
 
 	private ObjectNode status() {
 		ObjectNode node = Json.object();
-		node.put("id", this.parts.settings().id());
-		node.put("failure_domain", this.parts.settings().failureDomain());
+		node.put("id", this.context.settings().id());
+		node.put("failure_domain", this.context.settings().failureDomain());
 		node.put("revision", this.configuration.configuration().revision());
-		node.put("confirmation_age_ms", this.freshness.ageMs(this.parts.ticker().nowMs()));
+		node.put("confirmation_age_ms", this.freshness.ageMs(this.context.ticker().nowMs()));
 		node.put("serving", serving());
-		node.put("stopping", !this.parts.gate().ready());
+		node.put("stopping", !this.context.gate().ready());
 		node.put("in_progress", this.inProgress.count());
-		node.put("running", this.parts.drafts().running());
-		node.put("limit", this.parts.drafts().limit());
-		node.put("waiting", this.parts.drafts().waiting());
+		node.put("running", this.context.drafts().running());
+		node.put("limit", this.context.drafts().limit());
+		node.put("waiting", this.context.drafts().waiting());
 		ArrayNode members = node.putArray("members");
-		for (Member member : this.parts.members().members()) {
+		for (Member member : this.context.members().members()) {
 			ObjectNode one = members.addObject();
 			one.put("id", member.id());
 			one.put("failure_domain", member.failureDomain());
@@ -117,7 +117,7 @@
 
 	private ArrayNode upstreams() {
 		ArrayNode array = Json.MAPPER.createArrayNode();
-		for (Upstream upstream : this.parts.upstreams().all().values()) {
+		for (Upstream upstream : this.context.upstreams().all().values()) {
 			ObjectNode node = array.addObject();
 			node.put("id", upstream.id());
 			node.put("service", upstream.service());
@@ -126,8 +126,8 @@
 			node.put("layers", (upstream.range() != null) ? upstream.range().toString() : "");
 			node.put("generation", upstream.generation());
 			node.put("leaving", upstream.leaving());
-			node.put("in_flight", this.parts.upstreams().load(upstream.id()).inFlight());
-			node.put("paused", this.parts.upstreams().load(upstream.id()).paused(this.parts.ticker().nowMs()));
+			node.put("in_flight", this.context.upstreams().load(upstream.id()).inFlight());
+			node.put("paused", this.context.upstreams().load(upstream.id()).paused(this.context.ticker().nowMs()));
 		}
 		return array;
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
@@ -23,7 +23,7 @@
 	/** Bounds the line; the decision log holds all stages. */
 	private static final int MOST_FAILED_LOGGED = 16;
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
 	private final String requestId;
 
@@ -42,11 +42,11 @@
 
 	private long revision;
 
-	RequestRecord(EntryParts parts, String requestId, Span span) {
-		this.parts = parts;
+	RequestRecord(EntryContext context, String requestId, Span span) {
+		this.context = context;
 		this.requestId = requestId;
 		this.span = span;
-		this.startedAtMs = parts.ticker().nowMs();
+		this.startedAtMs = context.ticker().nowMs();
 	}
 
 	String requestId() {
@@ -96,14 +96,14 @@
 			case Outcome.Unknown unknown -> unknown.refusal();
 		};
 		String code = (refusal != null) ? refusal.code().wireName() : "ok";
-		long tookMs = this.parts.ticker().nowMs() - this.startedAtMs;
-		this.parts.metrics().ended(this.service, this.team, outcome.headerValue(), code);
+		long tookMs = this.context.ticker().nowMs() - this.startedAtMs;
+		this.context.metrics().ended(this.service, this.team, outcome.headerValue(), code);
 		this.span.setAttribute("whin.outcome", outcome.headerValue()).setAttribute("whin.code", code);
 		this.span.end();
 		ObjectNode node = Json.object();
 		node.put("request_id", this.requestId);
-		node.put("entry", this.parts.settings().id());
-		node.put("failure_domain", this.parts.settings().failureDomain());
+		node.put("entry", this.context.settings().id());
+		node.put("failure_domain", this.context.settings().failureDomain());
 		node.put("team", this.team);
 		node.put("service", this.service);
 		node.put("revision", this.revision);
@@ -112,10 +112,10 @@
 		node.put("why", (refusal != null) ? refusal.sentence() : "");
 		node.put("took_ms", tookMs);
 		node.set("hops", this.hops);
-		this.parts.decisions().put(this.requestId, node.toString());
+		this.context.decisions().put(this.requestId, node.toString());
 		logger.atInfo()
 			.log("request %s team=%s service=%s failure_domain=%s outcome=%s code=%s took_ms=%d hops=%d failed=\"%s\"",
-					this.requestId, this.team, this.service, this.parts.settings().failureDomain(),
+					this.requestId, this.team, this.service, this.context.settings().failureDomain(),
 					outcome.headerValue(), code, tookMs, this.hops.size(), this.failed);
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -48,10 +48,10 @@
 			"proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade", "host", "content-length",
 			"authorization", "expect", "http2-settings", "traceparent", ErrorReplies.OUTCOME, ErrorReplies.REQUEST_ID);
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
-	ServiceHandler(EntryParts parts) {
-		this.parts = parts;
+	ServiceHandler(EntryContext context) {
+		this.context = context;
 	}
 
 	Outcome handle(Exchange exchange, RequestRecord record, Gate.Verdict.Passed passed, String path) {
@@ -62,12 +62,12 @@
 			return notRun(exchange, record, Gate.unknownService(passed, name));
 		}
 		record.service(name);
-		Refusal refusal = Admission.enter(this.parts, this.parts.calls(), passed.team(), service.callTimeoutMs(),
+		Refusal refusal = Admission.enter(this.context, this.context.calls(), passed.team(), service.callTimeoutMs(),
 				exchange);
 		if (refusal != null) {
 			return notRun(exchange, record, refusal);
 		}
-		long enteredMs = this.parts.ticker().nowMs();
+		long enteredMs = this.context.ticker().nowMs();
 		try {
 			String target = (slash >= 0) ? rest.substring(slash) : "/";
 			String query = exchange.request().query();
@@ -76,9 +76,9 @@
 			return dispatch(sending);
 		}
 		finally {
-			long nowMs = this.parts.ticker().nowMs();
-			this.parts.calls().paced(nowMs, nowMs - enteredMs, service.callTimeoutMs());
-			this.parts.calls().leave(passed.team().name(), nowMs - enteredMs, nowMs);
+			long nowMs = this.context.ticker().nowMs();
+			this.context.calls().paced(nowMs, nowMs - enteredMs, service.callTimeoutMs());
+			this.context.calls().leave(passed.team().name(), nowMs - enteredMs, nowMs);
 		}
 	}
 
@@ -104,8 +104,8 @@
 		ActionName action = new ActionName(sending.passed.team().name(), sending.service.name(), key);
 		String bodyHash = ActionName.sha256(request.method().getBytes(StandardCharsets.UTF_8),
 				sending.target.getBytes(StandardCharsets.UTF_8), request.body());
-		Span span = this.parts.tracing().part(sending.record.span(), "claim");
-		Claimed claimed = this.parts.claims().claim(action, bodyHash);
+		Span span = this.context.tracing().part(sending.record.span(), "claim");
+		Claimed claimed = this.context.claims().claim(action, bodyHash);
 		span.end();
 		return switch (claimed) {
 			case Claimed.Mine mine -> sendClaimed(sending, mine.claim());
@@ -131,10 +131,10 @@
 	private Outcome sendClaimed(Sending sending, Claim claim) {
 		Sent sent = send(sending, false);
 		switch (sent) {
-			case Sent.Answered answered -> this.parts.claims()
+			case Sent.Answered answered -> this.context.claims()
 				.answered(claim, new StoredAnswer(answered.response().status(), passed(answered.response().headers()),
 						answered.response().body()));
-			case Sent.NotSent ignored -> this.parts.claims().release(claim);
+			case Sent.NotSent ignored -> this.context.claims().release(claim);
 			case Sent.Lost ignored -> {
 				// The claim stays without an answer: nobody sends this action again.
 			}
@@ -158,11 +158,11 @@
 	// Sends to one upstream after the other. Before a byte is written another may be
 	// tried; after that only where the call may be repeated, and while the budget lasts.
 	private Sent send(Sending sending, boolean repeatable) {
-		this.parts.budget().requested();
+		this.context.budget().requested();
 		Set<String> avoided = new HashSet<>();
 		boolean lost = false;
 		while (true) {
-			Choice choice = this.parts.chooser().plain(sending.service, sending.passed.placement(), avoided);
+			Choice choice = this.context.chooser().plain(sending.service, sending.passed.placement(), avoided);
 			if (!(choice instanceof Choice.Chosen chosen)) {
 				return lost ? new Sent.Lost("no upstream left to try") : new Sent.NotSent(refusal(sending, choice));
 			}
@@ -173,43 +173,43 @@
 			}
 			avoided.add(upstream.id());
 			lost |= result instanceof CallResult.Lost;
-			boolean mayRetry = (!lost || repeatable) && this.parts.budget().tryRetry();
+			boolean mayRetry = (!lost || repeatable) && this.context.budget().tryRetry();
 			if (!mayRetry) {
 				return lost ? new Sent.Lost("the upstream broke off or was silent")
 						: new Sent.NotSent(Refusal.temporary(Code.NO_UPSTREAM,
 								"No upstream of '" + sending.service.name() + "' could be reached.", RETRY_AFTER_S));
 			}
-			this.parts.metrics().retried(sending.service.name(), 1);
+			this.context.metrics().retried(sending.service.name(), 1);
 		}
 	}
 
 	private CallResult call(Sending sending, Upstream upstream, boolean repeatable) {
 		Request request = sending.exchange.request();
-		UpstreamLoad load = this.parts.upstreams().load(upstream.id());
-		long startMs = this.parts.ticker().nowMs();
+		UpstreamLoad load = this.context.upstreams().load(upstream.id());
+		long startMs = this.context.ticker().nowMs();
 		load.start();
 		CallResult result;
 		try {
 			// A call that may not be repeated takes a new connection: on a kept one that
 			// has silently died, it would be written and its fate unknown.
-			result = this.parts.caller()
+			result = this.context.caller()
 				.call(new Call(request.method(), upstream.address(), sending.target, forwarded(sending), request.body(),
 						sending.service.callTimeoutMs(), !repeatable));
 		}
 		finally {
 			load.end();
 		}
-		long tookMs = this.parts.ticker().nowMs() - startMs;
+		long tookMs = this.context.ticker().nowMs() - startMs;
 		boolean well = result instanceof CallResult.Response;
 		if (well) {
 			load.succeeded(tookMs);
 		}
 		else {
-			load.failed(this.parts.ticker().nowMs());
+			load.failed(this.context.ticker().nowMs());
 		}
 		sending.record.hops(List.of(new Hop(1, upstream.id(), upstream.failureDomain(), null, 0, 1, tookMs,
 				well ? "ok" : result.getClass().getSimpleName())));
-		this.parts.tracing()
+		this.context.tracing()
 			.endedHop(sending.record.span(), "call " + sending.service.name(),
 					Attributes.builder().put("whin.upstream", upstream.id()).build(), tookMs, well);
 		return result;
@@ -218,7 +218,7 @@
 	private List<Map.Entry<String, String>> forwarded(Sending sending) {
 		List<Map.Entry<String, String>> headers = new ArrayList<>(passed(sending.exchange.request().headers()));
 		Map<String, String> trace = new HashMap<>();
-		this.parts.tracing().inject(sending.record.span(), trace);
+		this.context.tracing().inject(sending.record.span(), trace);
 		trace.forEach((name, value) -> headers.add(Map.entry(name, value)));
 		headers.add(Map.entry(ErrorReplies.REQUEST_ID, sending.record.requestId()));
 		return headers;
