--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ConfigurationWatch.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ConfigurationWatcher.java
@@ -11,7 +11,7 @@
 /**
  * Follows the manifest in the object API. Confined to one thread.
  */
-final class ConfigurationWatch {
+final class ConfigurationWatcher {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -27,7 +27,7 @@
 
 	private long seenVersion;
 
-	ConfigurationWatch(ObjectStore store, ConfigurationHolder configuration, Freshness freshness, Ticker ticker,
+	ConfigurationWatcher(ObjectStore store, ConfigurationHolder configuration, Freshness freshness, Ticker ticker,
 			long watchMs) {
 		this.store = store;
 		this.configuration = configuration;
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -140,7 +140,7 @@
 				transport, this.ticker, random);
 		this.closer.register(PeerServer.start(transport, settings.host(), settings.peerPort(), node));
 		this.runningTimes = new RunningTimes(ticker.nowMs(), LONGEST_PAUSE_MS);
-		loops(new ConfigurationWatch(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
+		loops(new ConfigurationWatcher(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
 				new UpstreamWatch(store, engines, configuration, upstreams), node);
 		this.callers = this.closer.register(HttpServer.start(
 				new HttpServerSettings(settings.host(), settings.callerPort(), settings.limits().bodyBytes(),
@@ -210,7 +210,7 @@
 		this.closer.close();
 	}
 
-	private void loops(ConfigurationWatch configurationWatch, UpstreamWatch upstreamWatch, PeerNode node) {
+	private void loops(ConfigurationWatcher configurationWatch, UpstreamWatch upstreamWatch, PeerNode node) {
 		loop("running", NOTE_MS, () -> {
 			this.runningTimes.note(this.ticker.nowMs());
 			return true;
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationWatchTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationWatcherTests.java
@@ -17,9 +17,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link ConfigurationWatch}.
+ * Tests for {@link ConfigurationWatcher}.
  */
-class ConfigurationWatchTests {
+class ConfigurationWatcherTests {
 
 	private static final long BOUND_MS = 1000;
 
@@ -29,7 +29,7 @@
 
 	private final Freshness freshness = new Freshness(BOUND_MS);
 
-	private final ConfigurationWatch watch = new ConfigurationWatch(recording(), new ConfigurationHolder(),
+	private final ConfigurationWatcher watch = new ConfigurationWatcher(recording(), new ConfigurationHolder(),
 			this.freshness, new Clock(), 1);
 
 	private long nowMs;
@@ -96,7 +96,7 @@
 
 		@Override
 		public long nowMs() {
-			return ConfigurationWatchTests.this.nowMs;
+			return ConfigurationWatcherTests.this.nowMs;
 		}
 
 		@Override
