--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -141,7 +141,7 @@
 		this.closer.register(PeerServer.start(transport, settings.host(), settings.peerPort(), node));
 		this.runningTimes = new RunningTimes(ticker.nowMs(), LONGEST_PAUSE_MS);
 		loops(new ConfigurationWatcher(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
-				new UpstreamWatch(store, engines, configuration, upstreams), node);
+				new UpstreamPoller(store, engines, configuration, upstreams), node);
 		this.callers = this.closer.register(HttpServer.start(
 				new HttpServerSettings(settings.host(), settings.callerPort(), settings.limits().bodyBytes(),
 						settings.limits().headerBytes(), settings.timing().requestMs(), callerTls(tls)),
@@ -210,13 +210,13 @@
 		this.closer.close();
 	}
 
-	private void loops(ConfigurationWatcher configurationWatch, UpstreamWatch upstreamWatch, PeerNode node) {
+	private void loops(ConfigurationWatcher configurationWatch, UpstreamPoller upstreamPoller, PeerNode node) {
 		loop("running", NOTE_MS, () -> {
 			this.runningTimes.note(this.ticker.nowMs());
 			return true;
 		});
 		loop("configuration", 0, configurationWatch::step);
-		loop("upstreams", this.settings.timing().instancesMs(), upstreamWatch::step);
+		loop("upstreams", this.settings.timing().instancesMs(), upstreamPoller::step);
 		loop("gossip", this.settings.timing().gossipMs(), () -> {
 			node.gossip(this.settings.seeds());
 			return true;
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/UpstreamWatch.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/UpstreamPoller.java
@@ -26,7 +26,7 @@
  * asked; one that does not answer keeps its last report, since only a step proves it
  * dead. Confined to one thread.
  */
-final class UpstreamWatch {
+final class UpstreamPoller {
 
 	private final ObjectStore store;
 
@@ -40,7 +40,7 @@
 
 	private List<Instance> instances = List.of();
 
-	UpstreamWatch(ObjectStore store, EngineClient engines, ConfigurationHolder configuration, UpstreamTable table) {
+	UpstreamPoller(ObjectStore store, EngineClient engines, ConfigurationHolder configuration, UpstreamTable table) {
 		this.store = store;
 		this.engines = engines;
 		this.configuration = configuration;
