--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
@@ -31,13 +31,13 @@
 
 	private final ServiceHandler services;
 
-	private final InProgress inProgress;
+	private final InFlightRequests inFlight;
 
-	CallerHandler(EntryContext context, InProgress inProgress) {
+	CallerHandler(EntryContext context, InFlightRequests inFlight) {
 		this.context = context;
 		this.drafts = new DraftHandler(context);
 		this.services = new ServiceHandler(context);
-		this.inProgress = inProgress;
+		this.inFlight = inFlight;
 	}
 
 	@Override
@@ -53,7 +53,7 @@
 
 	@Override
 	public void handle(Exchange exchange) {
-		this.inProgress.begin();
+		this.inFlight.begin();
 		try {
 			RequestRecord record = record(exchange.request());
 			record.end(route(exchange, record));
@@ -61,7 +61,7 @@
 			exchange.awaitSent();
 		}
 		finally {
-			this.inProgress.end();
+			this.inFlight.end();
 		}
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -90,7 +90,7 @@
 
 	private final Closer closer = new Closer();
 
-	private final InProgress inProgress = new InProgress();
+	private final InFlightRequests inFlight = new InFlightRequests();
 
 	private final EntryContext context;
 
@@ -145,10 +145,10 @@
 		this.callers = this.closer.register(HttpServer.start(
 				new HttpServerSettings(settings.host(), settings.callerPort(), settings.limits().bodyBytes(),
 						settings.limits().headerBytes(), settings.timing().requestMs(), callerTls(tls)),
-				new CallerHandler(this.context, this.inProgress)));
+				new CallerHandler(this.context, this.inFlight)));
 		this.operators = this.closer.register(HttpServer
 			.start(HttpServerSettings.plain(settings.host(), settings.operatorPort()), new OperatorHandler(this.context,
-					configuration, freshness, this.inProgress, () -> Thread.startVirtualThread(() -> System.exit(0)))));
+					configuration, freshness, this.inFlight, () -> Thread.startVirtualThread(() -> System.exit(0)))));
 		logger.atInfo().log("entry %s serves callers on port %d", settings.id(), this.callers.port());
 	}
 
@@ -186,18 +186,18 @@
 		long endsAtMs = refusesAtMs + this.settings.timing().drainMs();
 		logger.atInfo()
 			.log("entry %s is stopping, %d in progress, handled %d ms late", this.settings.id(),
-					this.inProgress.count(), handledMs - signalledMs);
+					this.inFlight.count(), handledMs - signalledMs);
 		this.context.gate().endsAt(endsAtMs);
 		this.callers.endConnections();
 		this.context.members().leave(this.ticker.nowMs());
 		this.context.gate().stopAfter(refusesAtMs - this.ticker.nowMs());
 		this.callers.refuseArriving();
-		int left = this.inProgress.awaitNone(endsAtMs - this.ticker.nowMs());
+		int left = this.inFlight.awaitNone(endsAtMs - this.ticker.nowMs());
 		if (left > 0) {
 			logger.atSevere()
 				.log("entry %s cuts off %d requests: the drain limit of %d ms is reached", this.settings.id(), left,
 						this.settings.timing().drainMs());
-			this.inProgress.awaitNone(LAST_WORDS_MS);
+			this.inFlight.awaitNone(LAST_WORDS_MS);
 		}
 		close();
 		logger.atInfo().log("entry %s has stopped", this.settings.id());
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/InProgress.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/InFlightRequests.java
@@ -7,7 +7,7 @@
 /**
  * Counts requests in progress, so that a stop can wait for them. Safe for all threads.
  */
-final class InProgress {
+final class InFlightRequests {
 
 	private final ReentrantLock lock = new ReentrantLock();
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
@@ -31,16 +31,16 @@
 
 	private final Freshness freshness;
 
-	private final InProgress inProgress;
+	private final InFlightRequests inFlight;
 
 	private final Runnable drain;
 
-	OperatorHandler(EntryContext context, ConfigurationHolder configuration, Freshness freshness, InProgress inProgress,
+	OperatorHandler(EntryContext context, ConfigurationHolder configuration, Freshness freshness, InFlightRequests inFlight,
 			Runnable drain) {
 		this.context = context;
 		this.configuration = configuration;
 		this.freshness = freshness;
-		this.inProgress = inProgress;
+		this.inFlight = inFlight;
 		this.drain = drain;
 	}
 
@@ -101,7 +101,7 @@
 		node.put("confirmation_age_ms", this.freshness.ageMs(this.context.ticker().nowMs()));
 		node.put("serving", serving());
 		node.put("stopping", !this.context.gate().ready());
-		node.put("in_progress", this.inProgress.count());
+		node.put("in_progress", this.inFlight.count());
 		node.put("running", this.context.drafts().running());
 		node.put("limit", this.context.drafts().limit());
 		node.put("waiting", this.context.drafts().waiting());
