--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftBody.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftBody.java
@@ -37,9 +37,9 @@
 	 * @param maxPromptChars the longest prompt
 	 * @param maxDraftTokens the most tokens
 	 * @return the request
-	 * @throws BadBody where it cannot be read, with a sentence for the caller
+	 * @throws InvalidBodyException where it cannot be read, with a sentence for the caller
 	 */
-	static DraftBody parse(byte[] bytes, boolean chat, int maxPromptChars, int maxDraftTokens) throws BadBody {
+	static DraftBody parse(byte[] bytes, boolean chat, int maxPromptChars, int maxDraftTokens) throws InvalidBodyException {
 		JsonNode node = tree(bytes);
 		String textField = chat ? "messages" : "prompt";
 		Set<String> ignored = new LinkedHashSet<>();
@@ -48,54 +48,54 @@
 				ignored.add(field);
 			}
 			else if (!FIELDS.contains(field) && !field.equals(textField)) {
-				throw new BadBody("The field '" + field + "' is not known"
+				throw new InvalidBodyException("The field '" + field + "' is not known"
 						+ NearestMatch.hint(field, List.of("max_tokens", textField, "model", "stream")));
 			}
 		}
 		String prompt = chat ? messages(node.get("messages")) : text(node, "prompt");
 		if (prompt.length() > maxPromptChars) {
-			throw new BadBody(
+			throw new InvalidBodyException(
 					"The prompt has " + prompt.length() + " characters; at most " + maxPromptChars + " are taken.");
 		}
 		JsonNode stream = node.path("stream");
 		if (!stream.isMissingNode() && !stream.isBoolean()) {
-			throw new BadBody("'stream' is '" + stream + "'; true or false are taken.");
+			throw new InvalidBodyException("'stream' is '" + stream + "'; true or false are taken.");
 		}
 		return new DraftBody(text(node, "model"), prompt, maxTokens(node, maxDraftTokens), stream.asBoolean(false),
 				ignored);
 	}
 
-	private static JsonNode tree(byte[] bytes) throws BadBody {
+	private static JsonNode tree(byte[] bytes) throws InvalidBodyException {
 		try {
 			String text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
 			JsonNode node = Json.MAPPER.readTree(text);
 			if (!node.isObject()) {
-				throw new BadBody("The body is not a JSON object.");
+				throw new InvalidBodyException("The body is not a JSON object.");
 			}
 			return node;
 		}
 		catch (CharacterCodingException ex) {
-			throw new BadBody("The body is not valid UTF-8.");
+			throw new InvalidBodyException("The body is not valid UTF-8.");
 		}
 		catch (JacksonException ex) {
 			// The library's message would quote the caller's data; its place is enough.
 			String place = (ex.getLocation() != null)
 					? " at line " + ex.getLocation().getLineNr() + ", column " + ex.getLocation().getColumnNr() : "";
-			throw new BadBody("The body is not JSON, or is nested deeper than " + Json.MAX_DEPTH + place + ".");
+			throw new InvalidBodyException("The body is not JSON, or is nested deeper than " + Json.MAX_DEPTH + place + ".");
 		}
 	}
 
-	private static String text(JsonNode node, String field) throws BadBody {
+	private static String text(JsonNode node, String field) throws InvalidBodyException {
 		JsonNode value = node.path(field);
 		if (!value.isString() || value.stringValue().isEmpty()) {
-			throw new BadBody("'" + field + "' has to be a text that is not empty.");
+			throw new InvalidBodyException("'" + field + "' has to be a text that is not empty.");
 		}
 		return value.stringValue();
 	}
 
-	private static String messages(JsonNode messages) throws BadBody {
+	private static String messages(JsonNode messages) throws InvalidBodyException {
 		if (messages == null || !messages.isArray() || messages.isEmpty()) {
-			throw new BadBody("'messages' has to be a list that is not empty.");
+			throw new InvalidBodyException("'messages' has to be a list that is not empty.");
 		}
 		StringBuilder prompt = new StringBuilder();
 		for (JsonNode message : messages) {
@@ -104,13 +104,13 @@
 		return prompt.toString();
 	}
 
-	private static int maxTokens(JsonNode node, int most) throws BadBody {
+	private static int maxTokens(JsonNode node, int most) throws InvalidBodyException {
 		JsonNode value = node.path("max_tokens");
 		if (value.isMissingNode()) {
 			return Math.min(DEFAULT_TOKENS, most);
 		}
 		if (!value.isIntegralNumber() || value.longValue() < 1 || value.longValue() > most) {
-			throw new BadBody("'max_tokens' is '" + value + "'; a whole number from 1 to " + most + " is taken.");
+			throw new InvalidBodyException("'max_tokens' is '" + value + "'; a whole number from 1 to " + most + " is taken.");
 		}
 		return value.intValue();
 	}
@@ -118,9 +118,9 @@
 	/**
 	 * The body cannot be read.
 	 */
-	static final class BadBody extends Exception {
+	static final class InvalidBodyException extends Exception {
 
-		BadBody(String sentence) {
+		InvalidBodyException(String sentence) {
 			super(sentence);
 		}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -41,7 +41,7 @@
 			body = DraftBody.parse(exchange.request().body(), chat, this.context.settings().limits().promptChars(),
 					this.context.settings().limits().draftTokens());
 		}
-		catch (DraftBody.BadBody ex) {
+		catch (DraftBody.InvalidBodyException ex) {
 			return refuse(exchange, record, Refusal.permanent(Code.BAD_REQUEST, ex.getMessage()));
 		}
 		if (!(passed.service(body.model()).orElse(null) instanceof Service.Model model)) {
