--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -183,16 +183,16 @@
 		long handledMs = this.ticker.nowMs();
 		long signalledMs = this.runningTimes.earliestOf(handledMs);
 		long refusesAtMs = signalledMs + this.settings.timing().noticeMs();
-		long endsAtMs = refusesAtMs + this.settings.timing().drainMs();
+		long exitDeadlineMs = refusesAtMs + this.settings.timing().drainMs();
 		logger.atInfo()
 			.log("entry %s is stopping, %d in progress, handled %d ms late", this.settings.id(),
 					this.inFlight.count(), handledMs - signalledMs);
-		this.context.gate().endsAt(endsAtMs);
+		this.context.gate().setExitDeadline(exitDeadlineMs);
 		this.callers.endConnections();
 		this.context.members().leave(this.ticker.nowMs());
 		this.context.gate().stopAfter(refusesAtMs - this.ticker.nowMs());
 		this.callers.refuseArriving();
-		int left = this.inFlight.awaitNone(endsAtMs - this.ticker.nowMs());
+		int left = this.inFlight.awaitNone(exitDeadlineMs - this.ticker.nowMs());
 		if (left > 0) {
 			logger.atSevere()
 				.log("entry %s cuts off %d requests: the drain limit of %d ms is reached", this.settings.id(), left,
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
@@ -53,7 +53,7 @@
 
 	private volatile boolean stopping;
 
-	private volatile long endsAtMs = Long.MAX_VALUE;
+	private volatile long exitDeadlineMs = Long.MAX_VALUE;
 
 	Gate(ConfigurationHolder configuration, Freshness freshness, String failureDomain, Ticker ticker) {
 		this.configuration = configuration;
@@ -64,10 +64,10 @@
 
 	/**
 	 * The entry has been told to stop.
-	 * @param newEndsAtMs when it ends whatever still runs
+	 * @param newExitDeadlineMs when it ends whatever still runs
 	 */
-	void endsAt(long newEndsAtMs) {
-		this.endsAtMs = newEndsAtMs;
+	void setExitDeadline(long newExitDeadlineMs) {
+		this.exitDeadlineMs = newExitDeadlineMs;
 	}
 
 	/**
@@ -76,7 +76,7 @@
 	 * @return {@code true} while the entry is not stopping
 	 */
 	boolean leavesTimeFor(long neededMs) {
-		return this.ticker.nowMs() + neededMs < this.endsAtMs;
+		return this.ticker.nowMs() + neededMs < this.exitDeadlineMs;
 	}
 
 	boolean ready() {
