--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -86,7 +86,7 @@
 	}
 
 	private static boolean mayEnd(EntryContext context, AdmissionQueue queue) {
-		return context.gate().leavesTimeFor(queue.usualMs());
+		return context.gate().hasTimeFor(queue.usualMs());
 	}
 
 	private static int seconds(long milliseconds) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -156,7 +156,7 @@
 
 		@Override
 		public boolean stopping() {
-			return !DraftHandler.this.context.gate().leavesTimeFor(0);
+			return !DraftHandler.this.context.gate().hasTimeFor(0);
 		}
 
 		void whole(List<String> tokens) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
@@ -75,7 +75,7 @@
 	 * @param neededMs how long it takes
 	 * @return {@code true} while the entry is not stopping
 	 */
-	boolean leavesTimeFor(long neededMs) {
+	boolean hasTimeFor(long neededMs) {
 		return this.ticker.nowMs() + neededMs < this.exitDeadlineMs;
 	}
 
