--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -190,7 +190,7 @@
 		this.context.gate().setExitDeadline(exitDeadlineMs);
 		this.callers.endConnections();
 		this.context.members().leave(this.ticker.nowMs());
-		this.context.gate().stopAfter(refusesAtMs - this.ticker.nowMs());
+		this.context.gate().rejectRequestsAfter(refusesAtMs - this.ticker.nowMs());
 		this.callers.refuseArriving();
 		int left = this.inFlight.awaitNone(exitDeadlineMs - this.ticker.nowMs());
 		if (left > 0) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
@@ -92,7 +92,7 @@
 	 * this entry is not ready; none where it is negative
 	 * @throws InterruptedException where the thread is interrupted
 	 */
-	void stopAfter(long noticeMs) throws InterruptedException {
+	void rejectRequestsAfter(long noticeMs) throws InterruptedException {
 		if (noticeMs > 0) {
 			this.ready = false;
 			this.ticker.sleepMs(noticeMs);
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/GateTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/GateTests.java
@@ -43,7 +43,7 @@
 	@Test
 	void aStopWithoutNoticeNeverTakesRequestsWhileItIsNotReady() throws InterruptedException {
 		this.freshness.confirmed(0);
-		this.gate.stopAfter(0);
+		this.gate.rejectRequestsAfter(0);
 		assertThat(this.seenWhileWaiting).doesNotContain("not ready, takes requests");
 		assertThat(state()).isEqualTo("not ready, refuses");
 	}
@@ -52,7 +52,7 @@
 	void aStopWithNoticeIsNotReadyAtOnceAndTakesRequestsUntilTheNoticeIsOver() throws InterruptedException {
 		this.freshness.confirmed(0);
 		assertThat(state()).isEqualTo("ready, takes requests");
-		this.gate.stopAfter(500);
+		this.gate.rejectRequestsAfter(500);
 		assertThat(this.seenWhileWaiting).containsExactly("not ready, takes requests");
 		assertThat(state()).isEqualTo("not ready, refuses");
 	}
