--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
@@ -32,7 +32,7 @@
 	 * platform limit, twice that on a late process, or a watch that ends no sooner, is
 	 * not waited for: a draft's caller would see no token for many seconds.
 	 */
-	static final long LONGEST_PROOF_WAIT_MS = 1000;
+	static final long MAX_PROOF_WAIT_MS = 1000;
 
 	/** A proof is had by one call, which takes some milliseconds. */
 	private static final long PROOF_LOOK_MS = 10;
@@ -145,10 +145,10 @@
 	 * waits for is judged by the configuration of that time.
 	 * @param team the team
 	 * @param over whether the draft ends anyway, so that there is nothing to wait for
-	 * @return as {@link #placement}, after at most {@link #LONGEST_PROOF_WAIT_MS}
+	 * @return as {@link #placement}, after at most {@link #MAX_PROOF_WAIT_MS}
 	 */
 	Placement awaitPlacement(String team, BooleanSupplier over) {
-		long endMs = this.ticker.nowMs() + LONGEST_PROOF_WAIT_MS;
+		long endMs = this.ticker.nowMs() + MAX_PROOF_WAIT_MS;
 		try {
 			while (!this.freshness.mayServe(this.ticker.nowMs()) && this.ticker.nowMs() < endMs
 					&& !over.getAsBoolean()) {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/GateTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/GateTests.java
@@ -92,7 +92,7 @@
 		this.freshness.confirmed(0);
 		this.nowMs = 1500;
 		assertThat(this.gate.awaitPlacement("agencia", () -> false)).isNull();
-		assertThat(this.nowMs).isBetween(1500 + Gate.LONGEST_PROOF_WAIT_MS, 1600 + Gate.LONGEST_PROOF_WAIT_MS);
+		assertThat(this.nowMs).isBetween(1500 + Gate.MAX_PROOF_WAIT_MS, 1600 + Gate.MAX_PROOF_WAIT_MS);
 	}
 
 	// A draft waits for a proof, and its caller leaves: it must not hold its place any
