--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
@@ -85,7 +85,7 @@
 		this.failed = taken.stream()
 			.filter((hop) -> !hop.end().equals("ok"))
 			.limit(MOST_FAILED_LOGGED)
-			.map((hop) -> hop.upstream() + " after " + hop.steps() + " steps: " + kind(hop.end()))
+			.map((hop) -> hop.upstream() + " after " + hop.steps() + " steps: " + endKind(hop.end()))
 			.collect(Collectors.joining("; "));
 	}
 
@@ -125,7 +125,7 @@
 	 * @param end a hop's end: the kind, where a text follows with a colon between
 	 * @return the kind
 	 */
-	static String kind(String end) {
+	static String endKind(String end) {
 		int colon = end.indexOf(':');
 		return (colon < 0) ? end : end.substring(0, colon);
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/RequestRecordTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/RequestRecordTests.java
@@ -13,9 +13,9 @@
 	// the request's line names the stages that failed, and held the engine's text.
 	@Test
 	void theLogLineHoldsTheKindOfAnEndAndNoTextOfAnEngine() {
-		assertThat(RequestRecord.kind("refused: cannot read \"my prompt: hello\"")).isEqualTo("refused");
-		assertThat(RequestRecord.kind("not sent: java.net.ConnectException: refused")).isEqualTo("not sent");
-		assertThat(RequestRecord.kind("status 500")).isEqualTo("status 500");
+		assertThat(RequestRecord.endKind("refused: cannot read \"my prompt: hello\"")).isEqualTo("refused");
+		assertThat(RequestRecord.endKind("not sent: java.net.ConnectException: refused")).isEqualTo("not sent");
+		assertThat(RequestRecord.endKind("status 500")).isEqualTo("status 500");
 	}
 
 }
