--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
@@ -36,14 +36,14 @@
 	void heal() {
 		system.store().fault(Fault.NONE);
 		system.booking().nextFault(BookingServer.Fault.NONE);
-		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/readyz").status() == 200);
+		LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() == 200);
 	}
 
 	// A clerk's client sends the same booking to two entries at the same time, ten times.
 	// One runs it; every other is told the first answer, or that it is in doubt.
 	@Test
 	void theSameKeyAtTwoEntriesAtTheSameTimeRunsOnce() {
-		List<CompletableFuture<HttpProbe.Answer>> answers = IntStream.range(0, 10)
+		List<CompletableFuture<HttpTestClient.Answer>> answers = IntStream.range(0, 10)
 			.mapToObj((i) -> CompletableFuture.supplyAsync(() -> book(i % 2, "twice", "twice-slot")))
 			.toList();
 		assertThat(answers).allSatisfy((answer) -> assertThat(answer.join().outcome()).isIn("answered", "unknown"));
@@ -54,7 +54,7 @@
 	@Test
 	void withThePlatformDownABookingIsTrulyNotRun() {
 		system.store().fault(Fault.OUTAGE);
-		HttpProbe.Answer answer = book(0, "outage", "outage-slot");
+		HttpTestClient.Answer answer = book(0, "outage", "outage-slot");
 		assertThat(answer.status()).isEqualTo(503);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 		assertThat(answer.header("retry-after")).isPresent();
@@ -81,7 +81,7 @@
 	void aBookingWhoseAnswerWasCutIsUnknownAndNeverSentAgain() {
 		system.booking().nextFault(BookingServer.Fault.BREAK_AFTER_RUN);
 		assertThat(book(0, "cut", "cut-slot").outcome()).isEqualTo("unknown");
-		HttpProbe.Answer repeat = book(1, "cut", "cut-slot");
+		HttpTestClient.Answer repeat = book(1, "cut", "cut-slot");
 		assertThat(repeat.status()).isEqualTo(409);
 		assertThat(repeat.outcome()).isEqualTo("unknown");
 		assertThat(system.booking().runs("cut-slot")).isEqualTo(1);
@@ -90,7 +90,7 @@
 	@Test
 	void aBookingWithoutAKeyIsWrittenOnceAlthoughOtherUpstreamsAreThere() {
 		system.booking().nextFault(BookingServer.Fault.BREAK_AFTER_RUN);
-		HttpProbe.Answer answer = HttpProbe.post(system.entry(0).callerPort(), "/services/booking-api/bookings",
+		HttpTestClient.Answer answer = HttpTestClient.post(system.entry(0).callerPort(), "/services/booking-api/bookings",
 				"keyless-slot", "authorization", "Bearer key-1");
 		assertThat(answer.outcome()).isEqualTo("unknown");
 		assertThat(system.booking().runs("keyless-slot")).isEqualTo(1);
@@ -99,7 +99,7 @@
 	@Test
 	void aKeyUsedWithAnotherBodyIsRefusedAndNotRun() {
 		book(0, "reused", "first-slot");
-		HttpProbe.Answer answer = book(1, "reused", "second-slot");
+		HttpTestClient.Answer answer = book(1, "reused", "second-slot");
 		assertThat(answer.status()).isEqualTo(422);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 		assertThat(system.booking().runs("second-slot")).isZero();
@@ -114,7 +114,7 @@
 		List<Instance> before = List.of(instance("booking-poa-a"), instance("booking-poa-b"));
 		system.store().instance(dead);
 		system.store().instance(alsoDead);
-		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/upstreams")
+		LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/upstreams")
 			.body()
 			.split("127.0.0.1:1\"").length > 2);
 		for (int i = 0; i < 8; i++) {
@@ -132,8 +132,8 @@
 			.orElseThrow();
 	}
 
-	private static HttpProbe.Answer book(int entry, String key, String slot) {
-		return HttpProbe.book(system.entry(entry).callerPort(), "key-1", key, slot);
+	private static HttpTestClient.Answer book(int entry, String key, String slot) {
+		return HttpTestClient.book(system.entry(entry).callerPort(), "key-1", key, slot);
 	}
 
 }
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
@@ -29,12 +29,12 @@
 
 	@AfterEach
 	void othersAreServed() {
-		assertThat(HttpProbe.draft(port, "key-1", "x", 1, false).status()).isEqualTo(200);
+		assertThat(HttpTestClient.draft(port, "key-1", "x", 1, false).status()).isEqualTo(200);
 	}
 
 	@Test
 	void anUnknownKeyIsToldHowToSendOne() {
-		HttpProbe.Answer answer = HttpProbe.draft(port, "nobody", "x", 1, false);
+		HttpTestClient.Answer answer = HttpTestClient.draft(port, "nobody", "x", 1, false);
 		assertThat(answer.status()).isEqualTo(401);
 		assertThat(answer.body()).contains("unknown-key").contains("authorization: Bearer KEY");
 		assertThat(answer.outcome()).isEqualTo("not-run");
@@ -42,7 +42,7 @@
 
 	@Test
 	void anUnknownModelNamesTheNearestOne() {
-		HttpProbe.Answer answer = body("{\"model\":\"whin-lm\",\"prompt\":\"x\"}");
+		HttpTestClient.Answer answer = body("{\"model\":\"whin-lm\",\"prompt\":\"x\"}");
 		assertThat(answer.status()).isEqualTo(404);
 		assertThat(answer.body()).contains("did you mean 'whin-llm'?");
 	}
@@ -59,7 +59,7 @@
 
 	@Test
 	void deepNestingIsRefusedWithoutQuotingTheBody() {
-		HttpProbe.Answer answer = body("{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
+		HttpTestClient.Answer answer = body("{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
 		assertThat(answer.status()).isEqualTo(400);
 		assertThat(answer.body()).contains("nested deeper than 32").doesNotContain("secret");
 	}
@@ -73,7 +73,7 @@
 
 	@Test
 	void aLongPromptIsRefused() {
-		assertBad(HttpProbe.draftBody("x".repeat(10_001), 1, false), "at most 10000 are taken");
+		assertBad(HttpTestClient.draftBody("x".repeat(10_001), 1, false), "at most 10000 are taken");
 	}
 
 	@Test
@@ -109,7 +109,7 @@
 	@Test
 	void anAnswerToHeadHasNoBody() {
 		String head = "HEAD /v2/x HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-1\r\n";
-		assertThat(HttpProbe.raw(port, head + "\r\n" + head + "connection: close\r\n\r\n").split("HTTP/1.1 404", -1))
+		assertThat(HttpTestClient.raw(port, head + "\r\n" + head + "connection: close\r\n\r\n").split("HTTP/1.1 404", -1))
 			.hasSize(3)
 			.allMatch((part) -> part.isEmpty() || part.endsWith("\r\n\r\n"));
 	}
@@ -122,24 +122,24 @@
 
 	@Test
 	void anUnknownPathNamesTheKnownOnes() {
-		HttpProbe.Answer answer = HttpProbe.get(port, "/v2/x", "authorization", "Bearer key-1");
+		HttpTestClient.Answer answer = HttpTestClient.get(port, "/v2/x", "authorization", "Bearer key-1");
 		assertThat(answer.status()).isEqualTo(404);
 		assertThat(answer.body()).contains("/v1/completions");
 	}
 
 	private static void assertBad(String body, String sentence) {
-		HttpProbe.Answer answer = body(body);
+		HttpTestClient.Answer answer = body(body);
 		assertThat(answer.status()).isEqualTo(400);
 		assertThat(answer.body()).contains("bad-request").contains(sentence);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 	}
 
-	private static HttpProbe.Answer body(String body) {
-		return HttpProbe.post(port, "/v1/completions", body, "authorization", "Bearer key-1");
+	private static HttpTestClient.Answer body(String body) {
+		return HttpTestClient.post(port, "/v1/completions", body, "authorization", "Bearer key-1");
 	}
 
 	private static String post(String header, String body) {
-		return HttpProbe.raw(port,
+		return HttpTestClient.raw(port,
 				"POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer key-1\r\n"
 						+ header + "\r\n\r\n" + body);
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationInForceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationInForceTests.java
@@ -37,15 +37,15 @@
 	@Test
 	void aTightenedRuleIsInForceForDraftsThatRun() {
 		try (LocalSystem system = new LocalSystem().engines(5).entries(3).configure()) {
-			CompletableFuture<HttpProbe.Answer> draft = CompletableFuture
-				.supplyAsync(() -> HttpProbe.draft(system.entry(2).callerPort(), "key-1", "x", 400, true));
+			CompletableFuture<HttpTestClient.Answer> draft = CompletableFuture
+				.supplyAsync(() -> HttpTestClient.draft(system.entry(2).callerPort(), "key-1", "x", 400, true));
 			LocalSystem.await(() -> steps(system, "poa") > 20 || steps(system, "cxs") > 80);
 			system.configure(TIGHTENED);
 			// What was under way at that moment may still end.
 			LocalSystem.await(() -> steps(system, "cxs") > 200);
 			long outside = steps(system, "poa");
-			HttpProbe.Answer answer = draft.join();
-			assertThat(HttpProbe.tokens(answer.body())).isEqualTo(ReferenceModel.draft("x", LocalSystem.LAYERS, 400));
+			HttpTestClient.Answer answer = draft.join();
+			assertThat(HttpTestClient.tokens(answer.body())).isEqualTo(ReferenceModel.draft("x", LocalSystem.LAYERS, 400));
 			assertThat(steps(system, "poa")).isEqualTo(outside);
 		}
 	}
@@ -67,7 +67,7 @@
 			system.startEntry(2, NOWHERE);
 			system.accept();
 			LocalSystem.await(() -> status(system, 2).contains("\"revision\":1,"));
-			LocalSystem.await(() -> HttpProbe.get(system.entry(2).operatorPort(), "/readyz").status() == 200);
+			LocalSystem.await(() -> HttpTestClient.get(system.entry(2).operatorPort(), "/readyz").status() == 200);
 			system.accept(TIGHTENED);
 			LocalSystem.await(() -> status(system, 2).contains("\"revision\":2,"));
 		}
@@ -80,7 +80,7 @@
 		try (LocalSystem system = new LocalSystem().engines(0).entries(2).configure()) {
 			system.store().fault(Fault.OUTAGE);
 			system.startEntry(2, system.platform());
-			LocalSystem.await(() -> HttpProbe.get(system.entry(2).operatorPort(), "/readyz").status() == 200);
+			LocalSystem.await(() -> HttpTestClient.get(system.entry(2).operatorPort(), "/readyz").status() == 200);
 			assertThat(status(system, 2)).contains("\"revision\":1,");
 		}
 	}
@@ -103,8 +103,8 @@
 			system.store().fault(Fault.OUTAGE);
 			system.entry(1).close();
 			system.entry(2).close();
-			LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/readyz").status() == 503);
-			HttpProbe.Answer answer = draft(system, 0);
+			LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() == 503);
+			HttpTestClient.Answer answer = draft(system, 0);
 			assertThat(answer.status()).isEqualTo(503);
 			assertThat(answer.outcome()).isEqualTo("not-run");
 			assertThat(answer.body()).contains("configuration-unconfirmed").contains("retry_after_s");
@@ -116,17 +116,17 @@
 	@Test
 	void anEntryWithoutAnyConfigurationIsNotReadyAndRefuses() {
 		try (LocalSystem system = new LocalSystem().engines(0).entries(1)) {
-			assertThat(HttpProbe.get(system.entry(0).operatorPort(), "/readyz").status()).isEqualTo(503);
+			assertThat(HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status()).isEqualTo(503);
 			assertThat(draft(system, 0).outcome()).isEqualTo("not-run");
 		}
 	}
 
-	private static HttpProbe.Answer draft(LocalSystem system, int entry) {
-		return HttpProbe.draft(system.entry(entry).callerPort(), "key-1", "x", 1, false);
+	private static HttpTestClient.Answer draft(LocalSystem system, int entry) {
+		return HttpTestClient.draft(system.entry(entry).callerPort(), "key-1", "x", 1, false);
 	}
 
 	private static String status(LocalSystem system, int entry) {
-		return HttpProbe.get(system.entry(entry).operatorPort(), "/status").body();
+		return HttpTestClient.get(system.entry(entry).operatorPort(), "/status").body();
 	}
 
 	private static long ageMs(LocalSystem system, int entry) {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
@@ -50,7 +50,7 @@
 			LocalSystem.await(() -> reset.body().contains("data: "));
 			reset.reset();
 			assertThat(whole.await()).endsWith("data: [DONE]\n\n");
-			assertThat(HttpProbe.tokens(whole.body())).isEqualTo(ReferenceModel.draft("b", LocalSystem.LAYERS, 30));
+			assertThat(HttpTestClient.tokens(whole.body())).isEqualTo(ReferenceModel.draft("b", LocalSystem.LAYERS, 30));
 			LocalSystem.await(() -> system.engines().values().stream().allMatch((engine) -> engine.openStreams() == 0));
 		}
 	}
@@ -59,7 +59,7 @@
 	void withTlsHttp2IsAgreedOnByAlpnAndHttp1IsTakenToo() throws Exception {
 		try (LocalSystem system = new LocalSystem().engines(0).tls(tls()).entries(2)) {
 			system.accept();
-			LocalSystem.await(() -> HttpProbe.get(system.entry(1).operatorPort(), "/readyz").status() == 200);
+			LocalSystem.await(() -> HttpTestClient.get(system.entry(1).operatorPort(), "/readyz").status() == 200);
 			for (HttpClient.Version version : HttpClient.Version.values()) {
 				HttpResponse<String> answer = get(system, version, "src/test/resources/tls/ca.pem");
 				assertThat(answer.version()).isEqualTo(version);
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2Probe.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2Probe.java
@@ -100,7 +100,7 @@
 		stream.channel = channel;
 		DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
 				"/v1/completions",
-				Unpooled.wrappedBuffer(HttpProbe.draftBody(prompt, tokens, true).getBytes(StandardCharsets.UTF_8)));
+				Unpooled.wrappedBuffer(HttpTestClient.draftBody(prompt, tokens, true).getBytes(StandardCharsets.UTF_8)));
 		request.headers().set("host", "x").set("authorization", "Bearer " + key);
 		channel.writeAndFlush(request).sync();
 		return stream;
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpProbe.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpTestClient.java
@@ -22,13 +22,13 @@
 /**
  * A caller, for tests: the JDK's client, or raw bytes where the bytes matter.
  */
-final class HttpProbe {
+final class HttpTestClient {
 
 	private static final Pattern TOKEN = Pattern.compile("\"text\":\"([^\"]*)\"");
 
 	private static final HttpClient CLIENT = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-	private HttpProbe() {
+	private HttpTestClient() {
 	}
 
 	static Answer get(int port, String path, String... headers) {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/LastRefusalTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/LastRefusalTests.java
@@ -62,7 +62,7 @@
 		try (LocalSystem system = new LocalSystem().engines(5).entries(1).configure();
 				Socket socket = new Socket(InetAddress.getLoopbackAddress(), system.entry(0).callerPort())) {
 			socket.setSoTimeout(20_000);
-			String body = HttpProbe.draftBody("hello", 40, true);
+			String body = HttpTestClient.draftBody("hello", 40, true);
 			String head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-1\r\n";
 			send(socket, head + "content-length: " + body.length() + "\r\n\r\n" + body);
 			String begin = new String(socket.getInputStream().readNBytes(8), StandardCharsets.ISO_8859_1);
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/LocalSystem.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/LocalSystem.java
@@ -179,11 +179,11 @@
 	LocalSystem configure(String... replacements) {
 		long revision = accept(replacements);
 		for (Entry entry : this.entries) {
-			await(() -> HttpProbe.get(entry.operatorPort(), "/readyz").status() == 200
-					&& HttpProbe.get(entry.operatorPort(), "/status")
+			await(() -> HttpTestClient.get(entry.operatorPort(), "/readyz").status() == 200
+					&& HttpTestClient.get(entry.operatorPort(), "/status")
 						.body()
 						.contains("\"revision\":" + revision + ","));
-			await(() -> HttpProbe.get(entry.operatorPort(), "/upstreams").body().split("\"layers\":\"[0-9]").length
+			await(() -> HttpTestClient.get(entry.operatorPort(), "/upstreams").body().split("\"layers\":\"[0-9]").length
 					- 1 >= this.engines.size());
 		}
 		return this;
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
@@ -25,19 +25,19 @@
 
 	@Test
 	void explainTellsWhereADraftRanAndNothingOfItsText() {
-		HttpProbe.Answer draft = HttpProbe.draft(system.entry(0).callerPort(), "key-1", "a secret prompt", 3, false);
+		HttpTestClient.Answer draft = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "a secret prompt", 3, false);
 		String explained = get("/explain/" + draft.header("whin-request-id").orElseThrow()).body();
 		assertThat(explained).contains("\"team\":\"team-1\"")
 			.contains("\"outcome\":\"answered\"")
 			.contains("\"layers\":\"12-16\"")
 			.doesNotContain("secret")
 			.doesNotContain("key-1")
-			.doesNotContain(HttpProbe.tokens(draft.body()).get(0).strip());
+			.doesNotContain(HttpTestClient.tokens(draft.body()).get(0).strip());
 	}
 
 	@Test
 	void explainTellsWhyARequestWasRefused() {
-		HttpProbe.Answer refused = HttpProbe.draft(system.entry(0).callerPort(), "nobody", "x", 1, false);
+		HttpTestClient.Answer refused = HttpTestClient.draft(system.entry(0).callerPort(), "nobody", "x", 1, false);
 		assertThat(get("/explain/" + refused.header("whin-request-id").orElseThrow()).body())
 			.contains("\"code\":\"unknown-key\"")
 			.contains("No team has this key");
@@ -45,7 +45,7 @@
 
 	@Test
 	void metricsCountOutcomesByTeamAndServiceOnly() {
-		HttpProbe.draft(system.entry(0).callerPort(), "key-2", "x", 1, false);
+		HttpTestClient.draft(system.entry(0).callerPort(), "key-2", "x", 1, false);
 		String metrics = get("/metrics").body();
 		assertThat(metrics)
 			.contains("whin_requests_total{code=\"ok\",outcome=\"answered\",service=\"whin-llm\",team=\"team-2\"}")
@@ -56,13 +56,13 @@
 	@Test
 	void theLogLevelChangesAndAnUnknownOneIsRefused() {
 		int port = system.entry(0).operatorPort();
-		assertThat(HttpProbe.post(port, "/log-level?level=warn", "").status()).isEqualTo(200);
-		assertThat(HttpProbe.post(port, "/log-level?level=loud", "").status()).isEqualTo(400);
-		assertThat(HttpProbe.post(port, "/log-level?level=info", "").status()).isEqualTo(200);
+		assertThat(HttpTestClient.post(port, "/log-level?level=warn", "").status()).isEqualTo(200);
+		assertThat(HttpTestClient.post(port, "/log-level?level=loud", "").status()).isEqualTo(400);
+		assertThat(HttpTestClient.post(port, "/log-level?level=info", "").status()).isEqualTo(200);
 	}
 
-	private static HttpProbe.Answer get(String path) {
-		return HttpProbe.get(system.entry(0).operatorPort(), path);
+	private static HttpTestClient.Answer get(String path) {
+		return HttpTestClient.get(system.entry(0).operatorPort(), path);
 	}
 
 }
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -37,7 +37,7 @@
 	void anAnswerInTheNoticeEndsItsConnectionAndNothingBehindItRuns() {
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(3000, 1000).entries(1).configure()) {
 			CompletableFuture<Integer> cutOff = stop(system);
-			String answers = HttpProbe.raw(system.entry(0).callerPort(), booking("first") + booking("second"));
+			String answers = HttpTestClient.raw(system.entry(0).callerPort(), booking("first") + booking("second"));
 			assertThat(answers).startsWith("HTTP/1.1 201").contains("connection: close").contains("first");
 			// Whatever had been begun has ended by then.
 			assertThat(cutOff.join()).isZero();
@@ -77,7 +77,7 @@
 			String answers = begin + readAll(socket);
 			int refusal = answers.indexOf("HTTP/1.1 503");
 			assertThat(refusal).as("the place of the refusal in %s", answers).isPositive();
-			assertThat(HttpProbe.tokens(answers.substring(0, refusal)))
+			assertThat(HttpTestClient.tokens(answers.substring(0, refusal)))
 				.isEqualTo(ReferenceModel.draft("hello", LocalSystem.LAYERS, 40));
 			assertThat(answers.substring(0, refusal)).contains("data: [DONE]");
 			assertThat(answers.substring(refusal)).contains("not-run").contains("stopping");
@@ -120,7 +120,7 @@
 		try (LocalSystem system = new LocalSystem().engines(5).entries(1).configure();
 				Socket socket = connect(system.entry(0).callerPort())) {
 			int port = system.entry(0).callerPort();
-			later(() -> HttpProbe.raw(port, draft("keeps the entry up", 4000)));
+			later(() -> HttpTestClient.raw(port, draft("keeps the entry up", 4000)));
 			LocalSystem.await(() -> inProgress(system) == 1);
 			stop(system);
 			LocalSystem.await(() -> refuses(system));
@@ -146,9 +146,9 @@
 			.entries(1)
 			.configure()) {
 			int port = system.entry(0).callerPort();
-			CompletableFuture<String> runs = later(() -> HttpProbe.raw(port, draft("runs", 4000)));
+			CompletableFuture<String> runs = later(() -> HttpTestClient.raw(port, draft("runs", 4000)));
 			LocalSystem.await(() -> inProgress(system) == 1);
-			CompletableFuture<HttpProbe.Answer> waits = later(() -> HttpProbe.draft(port, "key-1", "waits", 1, true));
+			CompletableFuture<HttpTestClient.Answer> waits = later(() -> HttpTestClient.draft(port, "key-1", "waits", 1, true));
 			LocalSystem.await(() -> inProgress(system) == 2);
 			CompletableFuture<Integer> cutOff = stop(system);
 			assertThat(waits.join().outcome()).isEqualTo("not-run");
@@ -171,11 +171,11 @@
 			.entries(1)
 			.configure()) {
 			int port = system.entry(0).callerPort();
-			assertThat(HttpProbe.draft(port, "key-1", "usual", 30, false).status()).isEqualTo(200);
+			assertThat(HttpTestClient.draft(port, "key-1", "usual", 30, false).status()).isEqualTo(200);
 			Runnable release = system.holdSteps();
-			CompletableFuture<HttpProbe.Answer> runs = later(() -> HttpProbe.draft(port, "key-1", "runs", 30, true));
+			CompletableFuture<HttpTestClient.Answer> runs = later(() -> HttpTestClient.draft(port, "key-1", "runs", 30, true));
 			LocalSystem.await(() -> inProgress(system) == 1);
-			CompletableFuture<HttpProbe.Answer> waits = later(() -> HttpProbe.draft(port, "key-1", "waits", 30, true));
+			CompletableFuture<HttpTestClient.Answer> waits = later(() -> HttpTestClient.draft(port, "key-1", "waits", 30, true));
 			LocalSystem.await(() -> inProgress(system) == 2);
 			stop(system);
 			assertThat(waits.join().outcome()).isEqualTo("not-run");
@@ -225,7 +225,7 @@
 
 	private static CompletableFuture<Integer> stop(LocalSystem system) {
 		CompletableFuture<Integer> cutOff = later(() -> stop(system.entry(0)));
-		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/readyz").status() != 200);
+		LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() != 200);
 		return cutOff;
 	}
 
@@ -252,11 +252,11 @@
 	}
 
 	private static boolean refuses(LocalSystem system) {
-		return HttpProbe.draft(system.entry(0).callerPort(), "key-1", "x", 1, false).status() != 200;
+		return HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false).status() != 200;
 	}
 
 	private static int inProgress(LocalSystem system) {
-		String status = HttpProbe.get(system.entry(0).operatorPort(), "/status").body();
+		String status = HttpTestClient.get(system.entry(0).operatorPort(), "/status").body();
 		return Integer.parseInt(status.replaceAll("(?s).*\"in_progress\":(\\d+).*", "$1"));
 	}
 
@@ -279,7 +279,7 @@
 		for (String domain : List.of("poa-a", "poa-b", "cxs-a")) {
 			system.store().instance(new Instance("booking-" + domain, "booking-api", address, domain, "", false));
 		}
-		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/upstreams")
+		LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/upstreams")
 			.body()
 			.split(address + "\"", -1).length == 4);
 	}
@@ -303,7 +303,7 @@
 	}
 
 	private static String draft(String prompt, int tokens) {
-		return post("/v1/completions", HttpProbe.draftBody(prompt, tokens, true));
+		return post("/v1/completions", HttpTestClient.draftBody(prompt, tokens, true));
 	}
 
 	private static String post(String path, String body) {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
@@ -27,7 +27,7 @@
 	void aDraftGoesOnWhenAStageDiesInMidStream() {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
 			for (String range : List.of("0-4", "4-8", "8-12", "12-16")) {
-				List<CompletableFuture<HttpProbe.Answer>> drafts = drafts(system, 10);
+				List<CompletableFuture<HttpTestClient.Answer>> drafts = drafts(system, 10);
 				FakeEngine victim = system.engines().get("engine-poa-a-" + range);
 				long before = victim.stepCount();
 				LocalSystem.await(() -> victim.stepCount() > before + 20);
@@ -42,7 +42,7 @@
 	@Test
 	void aDraftGoesOnWhenAnEngineChangesItsVersion() {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
-			List<CompletableFuture<HttpProbe.Answer>> drafts = drafts(system, 10);
+			List<CompletableFuture<HttpTestClient.Answer>> drafts = drafts(system, 10);
 			FakeEngine engine = system.engines().get("engine-poa-a-4-8");
 			LocalSystem.await(() -> engine.stepCount() > 20);
 			engine.upgrade();
@@ -56,7 +56,7 @@
 	void aCutAnswerIsVisiblyIncomplete() throws IOException {
 		try (LocalSystem system = new LocalSystem().engines(5).entries(1).configure()) {
 			CompletableFuture<String> draft = CompletableFuture
-				.supplyAsync(() -> HttpProbe.raw(system.entry(0).callerPort(), request(TOKENS)));
+				.supplyAsync(() -> HttpTestClient.raw(system.entry(0).callerPort(), request(TOKENS)));
 			LocalSystem.await(() -> system.engines().values().stream().anyMatch((one) -> one.stepCount() > 5));
 			for (String domain : List.of("poa-a", "poa-b", "cxs-a")) {
 				system.killEngine("engine-" + domain + "-8-12");
@@ -77,7 +77,7 @@
 			}
 			LocalSystem.await(() -> system.engines().values().stream().allMatch((one) -> one.openStreams() == 0));
 			long steps = steps(system);
-			assertThat(HttpProbe.draft(system.entry(0).callerPort(), "key-1", "x", 1, false).status()).isEqualTo(200);
+			assertThat(HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false).status()).isEqualTo(200);
 			assertThat(steps(system)).isEqualTo(steps + 4);
 		}
 	}
@@ -87,11 +87,11 @@
 	@Test
 	void aStopCutsOffNoStream() throws InterruptedException {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
-			List<CompletableFuture<HttpProbe.Answer>> drafts = drafts(system, 10);
+			List<CompletableFuture<HttpTestClient.Answer>> drafts = drafts(system, 10);
 			LocalSystem.await(() -> system.engines().values().stream().mapToLong(FakeEngine::openStreams).sum() >= 40);
 			CompletableFuture<Integer> cutOff = CompletableFuture.supplyAsync(() -> stop(system.entry(0)));
-			LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/readyz").status() == 503);
-			HttpProbe.Answer late = HttpProbe.draft(system.entry(0).callerPort(), "key-1", "x", 1, false);
+			LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() == 503);
+			HttpTestClient.Answer late = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false);
 			assertThat(late.outcome()).isEqualTo("not-run");
 			assertThat(late.body()).contains("stopping");
 			assertWhole(drafts);
@@ -108,13 +108,13 @@
 			leaving.leave();
 			for (int i = 0; i < 2; i++) {
 				int entry = i;
-				LocalSystem.await(() -> HttpProbe.get(system.entry(entry).operatorPort(), "/upstreams")
+				LocalSystem.await(() -> HttpTestClient.get(system.entry(entry).operatorPort(), "/upstreams")
 					.body()
 					.contains("\"leaving\":true"));
 			}
 			long steps = leaving.stepCount();
 			for (int i = 0; i < 40; i++) {
-				assertThat(HttpProbe.draft(system.entry(i % 2).callerPort(), "key-1", "x" + i, 2, false).status())
+				assertThat(HttpTestClient.draft(system.entry(i % 2).callerPort(), "key-1", "x" + i, 2, false).status())
 					.isEqualTo(200);
 			}
 			assertThat(leaving.stepCount()).isEqualTo(steps);
@@ -130,23 +130,23 @@
 		}
 	}
 
-	private static List<CompletableFuture<HttpProbe.Answer>> drafts(LocalSystem system, int count) {
-		List<CompletableFuture<HttpProbe.Answer>> drafts = new ArrayList<>();
+	private static List<CompletableFuture<HttpTestClient.Answer>> drafts(LocalSystem system, int count) {
+		List<CompletableFuture<HttpTestClient.Answer>> drafts = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
 			String prompt = "p" + i;
-			CompletableFuture<HttpProbe.Answer> draft = new CompletableFuture<>();
+			CompletableFuture<HttpTestClient.Answer> draft = new CompletableFuture<>();
 			Thread.startVirtualThread(
-					() -> draft.complete(HttpProbe.draft(system.entry(0).callerPort(), "key-1", prompt, TOKENS, true)));
+					() -> draft.complete(HttpTestClient.draft(system.entry(0).callerPort(), "key-1", prompt, TOKENS, true)));
 			drafts.add(draft);
 		}
 		return drafts;
 	}
 
-	private static void assertWhole(List<CompletableFuture<HttpProbe.Answer>> drafts) {
+	private static void assertWhole(List<CompletableFuture<HttpTestClient.Answer>> drafts) {
 		for (int i = 0; i < drafts.size(); i++) {
-			HttpProbe.Answer answer = drafts.get(i).join();
+			HttpTestClient.Answer answer = drafts.get(i).join();
 			assertThat(answer.body()).endsWith("data: [DONE]\n\n");
-			assertThat(HttpProbe.tokens(answer.body()))
+			assertThat(HttpTestClient.tokens(answer.body()))
 				.isEqualTo(ReferenceModel.draft("p" + i, LocalSystem.LAYERS, TOKENS));
 		}
 	}
@@ -156,7 +156,7 @@
 	}
 
 	private static String request(int tokens) {
-		String body = HttpProbe.draftBody("hello", tokens, true);
+		String body = HttpTestClient.draftBody("hello", tokens, true);
 		return "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-1\r\ncontent-length: "
 				+ body.length() + "\r\n\r\n" + body;
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/WholeSessionTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/WholeSessionTests.java
@@ -50,12 +50,12 @@
 
 	@Test
 	void aDraftIsStreamed() throws IOException {
-		compare("draft-streamed", post("/v1/completions", "key-1", HttpProbe.draftBody("hello", 4, true)));
+		compare("draft-streamed", post("/v1/completions", "key-1", HttpTestClient.draftBody("hello", 4, true)));
 	}
 
 	@Test
 	void aDraftIsAnsweredWhole() throws IOException {
-		compare("draft-whole", post("/v1/completions", "key-1", HttpProbe.draftBody("hello", 4, false)));
+		compare("draft-whole", post("/v1/completions", "key-1", HttpTestClient.draftBody("hello", 4, false)));
 	}
 
 	@Test
@@ -67,7 +67,7 @@
 
 	@Test
 	void aDraftIsRefusedForItsPlace() throws IOException {
-		compare("draft-refused-for-its-place", post("/v1/completions", "key-0", HttpProbe.draftBody("hello", 4, true)));
+		compare("draft-refused-for-its-place", post("/v1/completions", "key-0", HttpTestClient.draftBody("hello", 4, true)));
 	}
 
 	@Test
@@ -117,9 +117,9 @@
 		int team = index % 10;
 		// Team 0's data may be in the third entry's place only.
 		int entry = (team == 0) ? 2 : index % 3;
-		HttpProbe.Answer answer = HttpProbe.draft(system.entry(entry).callerPort(), "key-" + team, prompt, 10, true);
+		HttpTestClient.Answer answer = HttpTestClient.draft(system.entry(entry).callerPort(), "key-" + team, prompt, 10, true);
 		boolean right = answer.body().endsWith("data: [DONE]\n\n")
-				&& HttpProbe.tokens(answer.body()).equals(ReferenceModel.draft(prompt, LocalSystem.LAYERS, 10));
+				&& HttpTestClient.tokens(answer.body()).equals(ReferenceModel.draft(prompt, LocalSystem.LAYERS, 10));
 		return right ? "" : answer.toString();
 	}
 
@@ -129,7 +129,7 @@
 	}
 
 	private static void compare(String name, String request) throws IOException {
-		String answer = HttpProbe.raw(system.entry(0).callerPort(), request);
+		String answer = HttpTestClient.raw(system.entry(0).callerPort(), request);
 		String session = (request + "\n----\n" + answer).replaceAll("r-[0-9a-f]{16}", "r-MASKED");
 		Path file = GOLDEN.resolve(name + ".txt");
 		if (Boolean.getBoolean("golden.write")) {
