--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
@@ -44,9 +44,9 @@
 	@Test
 	void aResetHttp2StreamLeavesItsNeighbourWhole() throws InterruptedException {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure();
-				Http2Probe probe = Http2Probe.connect(system.entry(0).callerPort())) {
-			Http2Probe.Stream reset = probe.draft("key-1", "a", 2000);
-			Http2Probe.Stream whole = probe.draft("key-2", "b", 30);
+				Http2TestClient client = Http2TestClient.connect(system.entry(0).callerPort())) {
+			Http2TestClient.Stream reset = client.draft("key-1", "a", 2000);
+			Http2TestClient.Stream whole = client.draft("key-2", "b", 30);
 			LocalSystem.await(() -> reset.body().contains("data: "));
 			reset.reset();
 			assertThat(whole.await()).endsWith("data: [DONE]\n\n");
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2Probe.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2TestClient.java
@@ -32,7 +32,7 @@
 /**
  * A caller that speaks HTTP/2 by prior knowledge, several streams on one connection.
  */
-final class Http2Probe implements AutoCloseable {
+final class Http2TestClient implements AutoCloseable {
 
 	private final EventLoopGroup group;
 
@@ -40,13 +40,13 @@
 
 	private final CompletableFuture<Http2Error> goAway;
 
-	private Http2Probe(EventLoopGroup group, Channel connection, CompletableFuture<Http2Error> goAway) {
+	private Http2TestClient(EventLoopGroup group, Channel connection, CompletableFuture<Http2Error> goAway) {
 		this.group = group;
 		this.connection = connection;
 		this.goAway = goAway;
 	}
 
-	static Http2Probe connect(int port) throws InterruptedException {
+	static Http2TestClient connect(int port) throws InterruptedException {
 		CompletableFuture<Http2Error> goAway = new CompletableFuture<>();
 		EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 		Channel connection = new Bootstrap().group(group)
@@ -72,7 +72,7 @@
 			.connect("127.0.0.1", port)
 			.sync()
 			.channel();
-		return new Http2Probe(group, connection, goAway);
+		return new Http2TestClient(group, connection, goAway);
 	}
 
 	/**
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -50,12 +50,12 @@
 	@Test
 	void anHttp2CallerIsAskedForNoMoreStreams() throws InterruptedException {
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(10_000, 1000).entries(1).configure();
-				Http2Probe probe = Http2Probe.connect(system.entry(0).callerPort())) {
-			assertThat(probe.draft("key-1", "before", 1).await()).endsWith("data: [DONE]\n\n");
-			assertThat(probe.goAway()).isNotDone();
+				Http2TestClient client = Http2TestClient.connect(system.entry(0).callerPort())) {
+			assertThat(client.draft("key-1", "before", 1).await()).endsWith("data: [DONE]\n\n");
+			assertThat(client.goAway()).isNotDone();
 			stop(system);
-			assertThat(probe.draft("key-1", "after", 3).await()).endsWith("data: [DONE]\n\n");
-			assertThat(probe.goAway().orTimeout(5, TimeUnit.SECONDS).join()).isEqualTo(Http2Error.NO_ERROR);
+			assertThat(client.draft("key-1", "after", 3).await()).endsWith("data: [DONE]\n\n");
+			assertThat(client.goAway().orTimeout(5, TimeUnit.SECONDS).join()).isEqualTo(Http2Error.NO_ERROR);
 		}
 	}
 
