--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
@@ -43,7 +43,7 @@
 	// One runs it; every other is told the first answer, or that it is in doubt.
 	@Test
 	void theSameKeyAtTwoEntriesAtTheSameTimeRunsOnce() {
-		List<CompletableFuture<HttpTestClient.Answer>> answers = IntStream.range(0, 10)
+		List<CompletableFuture<HttpTestClient.Response>> answers = IntStream.range(0, 10)
 			.mapToObj((i) -> CompletableFuture.supplyAsync(() -> book(i % 2, "twice", "twice-slot")))
 			.toList();
 		assertThat(answers).allSatisfy((answer) -> assertThat(answer.join().outcome()).isIn("answered", "unknown"));
@@ -54,7 +54,7 @@
 	@Test
 	void withThePlatformDownABookingIsTrulyNotRun() {
 		system.store().fault(Fault.OUTAGE);
-		HttpTestClient.Answer answer = book(0, "outage", "outage-slot");
+		HttpTestClient.Response answer = book(0, "outage", "outage-slot");
 		assertThat(answer.status()).isEqualTo(503);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 		assertThat(answer.header("retry-after")).isPresent();
@@ -81,7 +81,7 @@
 	void aBookingWhoseAnswerWasCutIsUnknownAndNeverSentAgain() {
 		system.booking().nextFault(BookingServer.Fault.BREAK_AFTER_RUN);
 		assertThat(book(0, "cut", "cut-slot").outcome()).isEqualTo("unknown");
-		HttpTestClient.Answer repeat = book(1, "cut", "cut-slot");
+		HttpTestClient.Response repeat = book(1, "cut", "cut-slot");
 		assertThat(repeat.status()).isEqualTo(409);
 		assertThat(repeat.outcome()).isEqualTo("unknown");
 		assertThat(system.booking().runs("cut-slot")).isEqualTo(1);
@@ -90,7 +90,7 @@
 	@Test
 	void aBookingWithoutAKeyIsWrittenOnceAlthoughOtherUpstreamsAreThere() {
 		system.booking().nextFault(BookingServer.Fault.BREAK_AFTER_RUN);
-		HttpTestClient.Answer answer = HttpTestClient.post(system.entry(0).callerPort(), "/services/booking-api/bookings",
+		HttpTestClient.Response answer = HttpTestClient.post(system.entry(0).callerPort(), "/services/booking-api/bookings",
 				"keyless-slot", "authorization", "Bearer key-1");
 		assertThat(answer.outcome()).isEqualTo("unknown");
 		assertThat(system.booking().runs("keyless-slot")).isEqualTo(1);
@@ -99,7 +99,7 @@
 	@Test
 	void aKeyUsedWithAnotherBodyIsRefusedAndNotRun() {
 		book(0, "reused", "first-slot");
-		HttpTestClient.Answer answer = book(1, "reused", "second-slot");
+		HttpTestClient.Response answer = book(1, "reused", "second-slot");
 		assertThat(answer.status()).isEqualTo(422);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 		assertThat(system.booking().runs("second-slot")).isZero();
@@ -132,7 +132,7 @@
 			.orElseThrow();
 	}
 
-	private static HttpTestClient.Answer book(int entry, String key, String slot) {
+	private static HttpTestClient.Response book(int entry, String key, String slot) {
 		return HttpTestClient.book(system.entry(entry).callerPort(), "key-1", key, slot);
 	}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
@@ -34,7 +34,7 @@
 
 	@Test
 	void anUnknownKeyIsToldHowToSendOne() {
-		HttpTestClient.Answer answer = HttpTestClient.draft(port, "nobody", "x", 1, false);
+		HttpTestClient.Response answer = HttpTestClient.draft(port, "nobody", "x", 1, false);
 		assertThat(answer.status()).isEqualTo(401);
 		assertThat(answer.body()).contains("unknown-key").contains("authorization: Bearer KEY");
 		assertThat(answer.outcome()).isEqualTo("not-run");
@@ -42,7 +42,7 @@
 
 	@Test
 	void anUnknownModelNamesTheNearestOne() {
-		HttpTestClient.Answer answer = body("{\"model\":\"whin-lm\",\"prompt\":\"x\"}");
+		HttpTestClient.Response answer = body("{\"model\":\"whin-lm\",\"prompt\":\"x\"}");
 		assertThat(answer.status()).isEqualTo(404);
 		assertThat(answer.body()).contains("did you mean 'whin-llm'?");
 	}
@@ -59,7 +59,7 @@
 
 	@Test
 	void deepNestingIsRefusedWithoutQuotingTheBody() {
-		HttpTestClient.Answer answer = body("{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
+		HttpTestClient.Response answer = body("{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
 		assertThat(answer.status()).isEqualTo(400);
 		assertThat(answer.body()).contains("nested deeper than 32").doesNotContain("secret");
 	}
@@ -122,19 +122,19 @@
 
 	@Test
 	void anUnknownPathNamesTheKnownOnes() {
-		HttpTestClient.Answer answer = HttpTestClient.get(port, "/v2/x", "authorization", "Bearer key-1");
+		HttpTestClient.Response answer = HttpTestClient.get(port, "/v2/x", "authorization", "Bearer key-1");
 		assertThat(answer.status()).isEqualTo(404);
 		assertThat(answer.body()).contains("/v1/completions");
 	}
 
 	private static void assertBad(String body, String sentence) {
-		HttpTestClient.Answer answer = body(body);
+		HttpTestClient.Response answer = body(body);
 		assertThat(answer.status()).isEqualTo(400);
 		assertThat(answer.body()).contains("bad-request").contains(sentence);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 	}
 
-	private static HttpTestClient.Answer body(String body) {
+	private static HttpTestClient.Response body(String body) {
 		return HttpTestClient.post(port, "/v1/completions", body, "authorization", "Bearer key-1");
 	}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationInForceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationInForceTests.java
@@ -37,14 +37,14 @@
 	@Test
 	void aTightenedRuleIsInForceForDraftsThatRun() {
 		try (LocalSystem system = new LocalSystem().engines(5).entries(3).configure()) {
-			CompletableFuture<HttpTestClient.Answer> draft = CompletableFuture
+			CompletableFuture<HttpTestClient.Response> draft = CompletableFuture
 				.supplyAsync(() -> HttpTestClient.draft(system.entry(2).callerPort(), "key-1", "x", 400, true));
 			LocalSystem.await(() -> steps(system, "poa") > 20 || steps(system, "cxs") > 80);
 			system.configure(TIGHTENED);
 			// What was under way at that moment may still end.
 			LocalSystem.await(() -> steps(system, "cxs") > 200);
 			long outside = steps(system, "poa");
-			HttpTestClient.Answer answer = draft.join();
+			HttpTestClient.Response answer = draft.join();
 			assertThat(HttpTestClient.tokens(answer.body())).isEqualTo(ReferenceModel.draft("x", LocalSystem.LAYERS, 400));
 			assertThat(steps(system, "poa")).isEqualTo(outside);
 		}
@@ -104,7 +104,7 @@
 			system.entry(1).close();
 			system.entry(2).close();
 			LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() == 503);
-			HttpTestClient.Answer answer = draft(system, 0);
+			HttpTestClient.Response answer = draft(system, 0);
 			assertThat(answer.status()).isEqualTo(503);
 			assertThat(answer.outcome()).isEqualTo("not-run");
 			assertThat(answer.body()).contains("configuration-unconfirmed").contains("retry_after_s");
@@ -121,7 +121,7 @@
 		}
 	}
 
-	private static HttpTestClient.Answer draft(LocalSystem system, int entry) {
+	private static HttpTestClient.Response draft(LocalSystem system, int entry) {
 		return HttpTestClient.draft(system.entry(entry).callerPort(), "key-1", "x", 1, false);
 	}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpTestClient.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpTestClient.java
@@ -31,19 +31,19 @@
 	private HttpTestClient() {
 	}
 
-	static Answer get(int port, String path, String... headers) {
+	static Response get(int port, String path, String... headers) {
 		return send(HttpRequest.newBuilder(uri(port, path)).GET(), headers);
 	}
 
-	static Answer post(int port, String path, String body, String... headers) {
+	static Response post(int port, String path, String body, String... headers) {
 		return send(HttpRequest.newBuilder(uri(port, path)).POST(HttpRequest.BodyPublishers.ofString(body)), headers);
 	}
 
-	static Answer draft(int port, String key, String prompt, int tokens, boolean stream) {
+	static Response draft(int port, String key, String prompt, int tokens, boolean stream) {
 		return post(port, "/v1/completions", draftBody(prompt, tokens, stream), "authorization", "Bearer " + key);
 	}
 
-	static Answer book(int port, String key, String idempotencyKey, String slot) {
+	static Response book(int port, String key, String idempotencyKey, String slot) {
 		return post(port, "/services/booking-api/bookings", slot, "authorization", "Bearer " + key, "idempotency-key",
 				idempotencyKey);
 	}
@@ -83,16 +83,16 @@
 		return tokens;
 	}
 
-	private static Answer send(HttpRequest.Builder request, String... headers) {
+	private static Response send(HttpRequest.Builder request, String... headers) {
 		for (int i = 0; i < headers.length; i += 2) {
 			request.header(headers[i], headers[i + 1]);
 		}
 		try {
 			HttpResponse<String> response = CLIENT.send(request.build(), HttpResponse.BodyHandlers.ofString());
-			return new Answer(response.statusCode(), response.headers().map(), response.body());
+			return new Response(response.statusCode(), response.headers().map(), response.body());
 		}
 		catch (IOException ex) {
-			return new Answer(0, Map.of(), String.valueOf(ex));
+			return new Response(0, Map.of(), String.valueOf(ex));
 		}
 		catch (InterruptedException ex) {
 			throw new IllegalStateException(ex);
@@ -110,7 +110,7 @@
 	 * @param headers the headers
 	 * @param body the body, or why it is missing
 	 */
-	record Answer(int status, Map<String, List<String>> headers, String body) {
+	record Response(int status, Map<String, List<String>> headers, String body) {
 
 		Optional<String> header(String name) {
 			return Optional.ofNullable(this.headers.get(name)).map((values) -> values.get(0));
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
@@ -25,7 +25,7 @@
 
 	@Test
 	void explainTellsWhereADraftRanAndNothingOfItsText() {
-		HttpTestClient.Answer draft = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "a secret prompt", 3, false);
+		HttpTestClient.Response draft = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "a secret prompt", 3, false);
 		String explained = get("/explain/" + draft.header("whin-request-id").orElseThrow()).body();
 		assertThat(explained).contains("\"team\":\"team-1\"")
 			.contains("\"outcome\":\"answered\"")
@@ -37,7 +37,7 @@
 
 	@Test
 	void explainTellsWhyARequestWasRefused() {
-		HttpTestClient.Answer refused = HttpTestClient.draft(system.entry(0).callerPort(), "nobody", "x", 1, false);
+		HttpTestClient.Response refused = HttpTestClient.draft(system.entry(0).callerPort(), "nobody", "x", 1, false);
 		assertThat(get("/explain/" + refused.header("whin-request-id").orElseThrow()).body())
 			.contains("\"code\":\"unknown-key\"")
 			.contains("No team has this key");
@@ -61,7 +61,7 @@
 		assertThat(HttpTestClient.post(port, "/log-level?level=info", "").status()).isEqualTo(200);
 	}
 
-	private static HttpTestClient.Answer get(String path) {
+	private static HttpTestClient.Response get(String path) {
 		return HttpTestClient.get(system.entry(0).operatorPort(), path);
 	}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
@@ -27,7 +27,7 @@
 	void aDraftGoesOnWhenAStageDiesInMidStream() {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
 			for (String range : List.of("0-4", "4-8", "8-12", "12-16")) {
-				List<CompletableFuture<HttpTestClient.Answer>> drafts = drafts(system, 10);
+				List<CompletableFuture<HttpTestClient.Response>> drafts = drafts(system, 10);
 				FakeEngine victim = system.engines().get("engine-poa-a-" + range);
 				long before = victim.stepCount();
 				LocalSystem.await(() -> victim.stepCount() > before + 20);
@@ -42,7 +42,7 @@
 	@Test
 	void aDraftGoesOnWhenAnEngineChangesItsVersion() {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
-			List<CompletableFuture<HttpTestClient.Answer>> drafts = drafts(system, 10);
+			List<CompletableFuture<HttpTestClient.Response>> drafts = drafts(system, 10);
 			FakeEngine engine = system.engines().get("engine-poa-a-4-8");
 			LocalSystem.await(() -> engine.stepCount() > 20);
 			engine.upgrade();
@@ -87,11 +87,11 @@
 	@Test
 	void aStopCutsOffNoStream() throws InterruptedException {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
-			List<CompletableFuture<HttpTestClient.Answer>> drafts = drafts(system, 10);
+			List<CompletableFuture<HttpTestClient.Response>> drafts = drafts(system, 10);
 			LocalSystem.await(() -> system.engines().values().stream().mapToLong(FakeEngine::openStreams).sum() >= 40);
 			CompletableFuture<Integer> cutOff = CompletableFuture.supplyAsync(() -> stop(system.entry(0)));
 			LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() == 503);
-			HttpTestClient.Answer late = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false);
+			HttpTestClient.Response late = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false);
 			assertThat(late.outcome()).isEqualTo("not-run");
 			assertThat(late.body()).contains("stopping");
 			assertWhole(drafts);
@@ -130,11 +130,11 @@
 		}
 	}
 
-	private static List<CompletableFuture<HttpTestClient.Answer>> drafts(LocalSystem system, int count) {
-		List<CompletableFuture<HttpTestClient.Answer>> drafts = new ArrayList<>();
+	private static List<CompletableFuture<HttpTestClient.Response>> drafts(LocalSystem system, int count) {
+		List<CompletableFuture<HttpTestClient.Response>> drafts = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
 			String prompt = "p" + i;
-			CompletableFuture<HttpTestClient.Answer> draft = new CompletableFuture<>();
+			CompletableFuture<HttpTestClient.Response> draft = new CompletableFuture<>();
 			Thread.startVirtualThread(
 					() -> draft.complete(HttpTestClient.draft(system.entry(0).callerPort(), "key-1", prompt, TOKENS, true)));
 			drafts.add(draft);
@@ -142,9 +142,9 @@
 		return drafts;
 	}
 
-	private static void assertWhole(List<CompletableFuture<HttpTestClient.Answer>> drafts) {
+	private static void assertWhole(List<CompletableFuture<HttpTestClient.Response>> drafts) {
 		for (int i = 0; i < drafts.size(); i++) {
-			HttpTestClient.Answer answer = drafts.get(i).join();
+			HttpTestClient.Response answer = drafts.get(i).join();
 			assertThat(answer.body()).endsWith("data: [DONE]\n\n");
 			assertThat(HttpTestClient.tokens(answer.body()))
 				.isEqualTo(ReferenceModel.draft("p" + i, LocalSystem.LAYERS, TOKENS));
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/WholeSessionTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/WholeSessionTests.java
@@ -117,7 +117,7 @@
 		int team = index % 10;
 		// Team 0's data may be in the third entry's place only.
 		int entry = (team == 0) ? 2 : index % 3;
-		HttpTestClient.Answer answer = HttpTestClient.draft(system.entry(entry).callerPort(), "key-" + team, prompt, 10, true);
+		HttpTestClient.Response answer = HttpTestClient.draft(system.entry(entry).callerPort(), "key-" + team, prompt, 10, true);
 		boolean right = answer.body().endsWith("data: [DONE]\n\n")
 				&& HttpTestClient.tokens(answer.body()).equals(ReferenceModel.draft(prompt, LocalSystem.LAYERS, 10));
 		return right ? "" : answer.toString();
