--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/WholeSessionTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/GoldenSessionTests.java
@@ -24,7 +24,7 @@
  * masked, and many sessions at once. To write the files anew, run with
  * {@code -Dgolden.write=true} and read the difference.
  */
-class WholeSessionTests {
+class GoldenSessionTests {
 
 	private static final Path GOLDEN = Path.of("src/test/resources/golden");
 
