--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/LastRefusalTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/RefusalDuringStopTests.java
@@ -13,7 +13,7 @@
 /**
  * Whether the last refusals of an entry that stops can be read.
  */
-class LastRefusalTests {
+class RefusalDuringStopTests {
 
 	// A caller still sends its body when the notice ends; nothing else is in progress.
 	// The refusal is written, and the entry closes everything at once: the rest of the
