--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftBody.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftBody.java
@@ -37,9 +37,11 @@
 	 * @param maxPromptChars the longest prompt
 	 * @param maxDraftTokens the most tokens
 	 * @return the request
-	 * @throws InvalidBodyException where it cannot be read, with a sentence for the caller
+	 * @throws InvalidBodyException where it cannot be read, with a sentence for the
+	 * caller
 	 */
-	static DraftBody parse(byte[] bytes, boolean chat, int maxPromptChars, int maxDraftTokens) throws InvalidBodyException {
+	static DraftBody parse(byte[] bytes, boolean chat, int maxPromptChars, int maxDraftTokens)
+			throws InvalidBodyException {
 		JsonNode node = tree(bytes);
 		String textField = chat ? "messages" : "prompt";
 		Set<String> ignored = new LinkedHashSet<>();
@@ -81,7 +83,8 @@
 			// The library's message would quote the caller's data; its place is enough.
 			String place = (ex.getLocation() != null)
 					? " at line " + ex.getLocation().getLineNr() + ", column " + ex.getLocation().getColumnNr() : "";
-			throw new InvalidBodyException("The body is not JSON, or is nested deeper than " + Json.MAX_DEPTH + place + ".");
+			throw new InvalidBodyException(
+					"The body is not JSON, or is nested deeper than " + Json.MAX_DEPTH + place + ".");
 		}
 	}
 
@@ -110,7 +113,8 @@
 			return Math.min(DEFAULT_TOKENS, most);
 		}
 		if (!value.isIntegralNumber() || value.longValue() < 1 || value.longValue() > most) {
-			throw new InvalidBodyException("'max_tokens' is '" + value + "'; a whole number from 1 to " + most + " is taken.");
+			throw new InvalidBodyException(
+					"'max_tokens' is '" + value + "'; a whole number from 1 to " + most + " is taken.");
 		}
 		return value.intValue();
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -185,8 +185,8 @@
 		long refusesAtMs = signalledMs + this.settings.timing().noticeMs();
 		long exitDeadlineMs = refusesAtMs + this.settings.timing().drainMs();
 		logger.atInfo()
-			.log("entry %s is stopping, %d in progress, handled %d ms late", this.settings.id(),
-					this.inFlight.count(), handledMs - signalledMs);
+			.log("entry %s is stopping, %d in progress, handled %d ms late", this.settings.id(), this.inFlight.count(),
+					handledMs - signalledMs);
 		this.context.gate().setExitDeadline(exitDeadlineMs);
 		this.callers.endConnections();
 		this.context.members().leave(this.ticker.nowMs());
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
@@ -35,8 +35,8 @@
 
 	private final Runnable drain;
 
-	OperatorHandler(EntryContext context, ConfigurationHolder configuration, Freshness freshness, InFlightRequests inFlight,
-			Runnable drain) {
+	OperatorHandler(EntryContext context, ConfigurationHolder configuration, Freshness freshness,
+			InFlightRequests inFlight, Runnable drain) {
 		this.context = context;
 		this.configuration = configuration;
 		this.freshness = freshness;
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
@@ -90,8 +90,8 @@
 	@Test
 	void aBookingWithoutAKeyIsWrittenOnceAlthoughOtherUpstreamsAreThere() {
 		system.booking().nextFault(BookingServer.Fault.BREAK_AFTER_RUN);
-		HttpTestClient.Response answer = HttpTestClient.post(system.entry(0).callerPort(), "/services/booking-api/bookings",
-				"keyless-slot", "authorization", "Bearer key-1");
+		HttpTestClient.Response answer = HttpTestClient.post(system.entry(0).callerPort(),
+				"/services/booking-api/bookings", "keyless-slot", "authorization", "Bearer key-1");
 		assertThat(answer.outcome()).isEqualTo("unknown");
 		assertThat(system.booking().runs("keyless-slot")).isEqualTo(1);
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
@@ -59,7 +59,8 @@
 
 	@Test
 	void deepNestingIsRefusedWithoutQuotingTheBody() {
-		HttpTestClient.Response answer = body("{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
+		HttpTestClient.Response answer = body(
+				"{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
 		assertThat(answer.status()).isEqualTo(400);
 		assertThat(answer.body()).contains("nested deeper than 32").doesNotContain("secret");
 	}
@@ -109,7 +110,8 @@
 	@Test
 	void anAnswerToHeadHasNoBody() {
 		String head = "HEAD /v2/x HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-1\r\n";
-		assertThat(HttpTestClient.raw(port, head + "\r\n" + head + "connection: close\r\n\r\n").split("HTTP/1.1 404", -1))
+		assertThat(
+				HttpTestClient.raw(port, head + "\r\n" + head + "connection: close\r\n\r\n").split("HTTP/1.1 404", -1))
 			.hasSize(3)
 			.allMatch((part) -> part.isEmpty() || part.endsWith("\r\n\r\n"));
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationInForceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationInForceTests.java
@@ -45,7 +45,8 @@
 			LocalSystem.await(() -> steps(system, "cxs") > 200);
 			long outside = steps(system, "poa");
 			HttpTestClient.Response answer = draft.join();
-			assertThat(HttpTestClient.tokens(answer.body())).isEqualTo(ReferenceModel.draft("x", LocalSystem.LAYERS, 400));
+			assertThat(HttpTestClient.tokens(answer.body()))
+				.isEqualTo(ReferenceModel.draft("x", LocalSystem.LAYERS, 400));
 			assertThat(steps(system, "poa")).isEqualTo(outside);
 		}
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/GoldenSessionTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/GoldenSessionTests.java
@@ -67,7 +67,8 @@
 
 	@Test
 	void aDraftIsRefusedForItsPlace() throws IOException {
-		compare("draft-refused-for-its-place", post("/v1/completions", "key-0", HttpTestClient.draftBody("hello", 4, true)));
+		compare("draft-refused-for-its-place",
+				post("/v1/completions", "key-0", HttpTestClient.draftBody("hello", 4, true)));
 	}
 
 	@Test
@@ -117,7 +118,8 @@
 		int team = index % 10;
 		// Team 0's data may be in the third entry's place only.
 		int entry = (team == 0) ? 2 : index % 3;
-		HttpTestClient.Response answer = HttpTestClient.draft(system.entry(entry).callerPort(), "key-" + team, prompt, 10, true);
+		HttpTestClient.Response answer = HttpTestClient.draft(system.entry(entry).callerPort(), "key-" + team, prompt,
+				10, true);
 		boolean right = answer.body().endsWith("data: [DONE]\n\n")
 				&& HttpTestClient.tokens(answer.body()).equals(ReferenceModel.draft(prompt, LocalSystem.LAYERS, 10));
 		return right ? "" : answer.toString();
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
@@ -50,7 +50,8 @@
 			LocalSystem.await(() -> reset.body().contains("data: "));
 			reset.reset();
 			assertThat(whole.await()).endsWith("data: [DONE]\n\n");
-			assertThat(HttpTestClient.tokens(whole.body())).isEqualTo(ReferenceModel.draft("b", LocalSystem.LAYERS, 30));
+			assertThat(HttpTestClient.tokens(whole.body()))
+				.isEqualTo(ReferenceModel.draft("b", LocalSystem.LAYERS, 30));
 			LocalSystem.await(() -> system.engines().values().stream().allMatch((engine) -> engine.openStreams() == 0));
 		}
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2TestClient.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2TestClient.java
@@ -99,8 +99,8 @@
 			.getNow();
 		stream.channel = channel;
 		DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-				"/v1/completions",
-				Unpooled.wrappedBuffer(HttpTestClient.draftBody(prompt, tokens, true).getBytes(StandardCharsets.UTF_8)));
+				"/v1/completions", Unpooled
+					.wrappedBuffer(HttpTestClient.draftBody(prompt, tokens, true).getBytes(StandardCharsets.UTF_8)));
 		request.headers().set("host", "x").set("authorization", "Bearer " + key);
 		channel.writeAndFlush(request).sync();
 		return stream;
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
@@ -25,7 +25,8 @@
 
 	@Test
 	void explainTellsWhereADraftRanAndNothingOfItsText() {
-		HttpTestClient.Response draft = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "a secret prompt", 3, false);
+		HttpTestClient.Response draft = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "a secret prompt",
+				3, false);
 		String explained = get("/explain/" + draft.header("whin-request-id").orElseThrow()).body();
 		assertThat(explained).contains("\"team\":\"team-1\"")
 			.contains("\"outcome\":\"answered\"")
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -148,7 +148,8 @@
 			int port = system.entry(0).callerPort();
 			CompletableFuture<String> runs = later(() -> HttpTestClient.raw(port, draft("runs", 4000)));
 			LocalSystem.await(() -> inProgress(system) == 1);
-			CompletableFuture<HttpTestClient.Response> waits = later(() -> HttpTestClient.draft(port, "key-1", "waits", 1, true));
+			CompletableFuture<HttpTestClient.Response> waits = later(
+					() -> HttpTestClient.draft(port, "key-1", "waits", 1, true));
 			LocalSystem.await(() -> inProgress(system) == 2);
 			CompletableFuture<Integer> cutOff = stop(system);
 			assertThat(waits.join().outcome()).isEqualTo("not-run");
@@ -173,9 +174,11 @@
 			int port = system.entry(0).callerPort();
 			assertThat(HttpTestClient.draft(port, "key-1", "usual", 30, false).status()).isEqualTo(200);
 			Runnable release = system.holdSteps();
-			CompletableFuture<HttpTestClient.Response> runs = later(() -> HttpTestClient.draft(port, "key-1", "runs", 30, true));
+			CompletableFuture<HttpTestClient.Response> runs = later(
+					() -> HttpTestClient.draft(port, "key-1", "runs", 30, true));
 			LocalSystem.await(() -> inProgress(system) == 1);
-			CompletableFuture<HttpTestClient.Response> waits = later(() -> HttpTestClient.draft(port, "key-1", "waits", 30, true));
+			CompletableFuture<HttpTestClient.Response> waits = later(
+					() -> HttpTestClient.draft(port, "key-1", "waits", 30, true));
 			LocalSystem.await(() -> inProgress(system) == 2);
 			stop(system);
 			assertThat(waits.join().outcome()).isEqualTo("not-run");
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
@@ -77,7 +77,8 @@
 			}
 			LocalSystem.await(() -> system.engines().values().stream().allMatch((one) -> one.openStreams() == 0));
 			long steps = steps(system);
-			assertThat(HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false).status()).isEqualTo(200);
+			assertThat(HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false).status())
+				.isEqualTo(200);
 			assertThat(steps(system)).isEqualTo(steps + 4);
 		}
 	}
@@ -135,8 +136,8 @@
 		for (int i = 0; i < count; i++) {
 			String prompt = "p" + i;
 			CompletableFuture<HttpTestClient.Response> draft = new CompletableFuture<>();
-			Thread.startVirtualThread(
-					() -> draft.complete(HttpTestClient.draft(system.entry(0).callerPort(), "key-1", prompt, TOKENS, true)));
+			Thread.startVirtualThread(() -> draft
+				.complete(HttpTestClient.draft(system.entry(0).callerPort(), "key-1", prompt, TOKENS, true)));
 			drafts.add(draft);
 		}
 		return drafts;
