--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -12,32 +12,32 @@
 import io.whinjunction.outcome.Refusal.Code;
 
 /**
- * Takes a request through its team's limit and the queue. Stateless.
+ * Admits requests through the rate limit of their team and the admission queue.
  * <p>
- * Invariant: a stopping entry begins nothing that it would likely cut off. Such a request
- * is refused as not run as soon as that is known, also while it waits, so that its caller
- * has time left to ask another entry.
+ * Invariant: a stopping entry starts no request that it would probably have to cut off.
+ * Such a request is refused as not run as soon as this is known, even while it is queued,
+ * so that its caller has time left to try another entry. Stateless.
  */
 final class Admission {
 
-	/** How often a waiting request looks whether its caller has gone. */
-	private static final long LOOK_EVERY_MS = 100;
+	/** How often a queued request checks whether its caller has disconnected. */
+	private static final long CHECK_INTERVAL_MS = 100;
 
 	private Admission() {
 	}
 
 	/**
 	 * Waits until the request may run.
-	 * @param parts the entry
+	 * @param context the components of the entry
 	 * @param queue the queue
 	 * @param team the team
-	 * @param allowedMs how long it may take, waiting included
+	 * @param allowedMs how long the request may take, including its time in the queue
 	 * @param exchange the request
-	 * @return {@code null} where it may run, and {@link AdmissionQueue#leave} has to
-	 * follow; else the refusal
+	 * @return {@code null} if the request may run, in which case
+	 * {@link AdmissionQueue#leave} must be called after it; otherwise the refusal
 	 */
 	static Refusal enter(EntryContext context, AdmissionQueue queue, Team team, long allowedMs, Exchange exchange) {
-		if (!mayEnd(context, queue)) {
+		if (!canComplete(context, queue)) {
 			return Gate.stoppingRefusal();
 		}
 		long waitMs = context.limits().tryStart(team, context.members().alive().size(), context.ticker().nowMs());
@@ -60,17 +60,18 @@
 			Ticket.Waiting waiting) {
 		long endMs = context.ticker().nowMs() + waitMs;
 		while (true) {
-			long leftMs = endMs - context.ticker().nowMs();
+			long remainingMs = endMs - context.ticker().nowMs();
 			try {
-				boolean runs = waiting.turn().get(Math.max(1, Math.min(LOOK_EVERY_MS, leftMs)), TimeUnit.MILLISECONDS);
-				return runs ? null : Refusal.temporary(Code.OVERLOADED,
+				boolean admitted = waiting.turn()
+					.get(Math.max(1, Math.min(CHECK_INTERVAL_MS, remainingMs)), TimeUnit.MILLISECONDS);
+				return admitted ? null : Refusal.temporary(Code.OVERLOADED,
 						"More work of the team is waiting than can be done; another team came first.", 1);
 			}
 			catch (TimeoutException ex) {
-				boolean mayEnd = mayEnd(context, queue);
-				boolean over = leftMs <= 0 || exchange.gone() || !mayEnd;
+				boolean canComplete = canComplete(context, queue);
+				boolean over = remainingMs <= 0 || exchange.gone() || !canComplete;
 				if (over && queue.giveUp(team.name(), waiting)) {
-					return mayEnd
+					return canComplete
 							? Refusal.temporary(Code.DEADLINE, "The request waited as long as its deadline allows.", 1)
 							: Gate.stoppingRefusal();
 				}
@@ -85,7 +86,7 @@
 		}
 	}
 
-	private static boolean mayEnd(EntryContext context, AdmissionQueue queue) {
+	private static boolean canComplete(EntryContext context, AdmissionQueue queue) {
 		return context.gate().hasTimeFor(queue.usualMs());
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
@@ -17,7 +17,7 @@
 import io.whinjunction.outcome.Refusal.Code;
 
 /**
- * Answers callers. Safe for all threads.
+ * Handles the requests of callers. Thread-safe.
  */
 final class CallerHandler implements Handler {
 
@@ -57,7 +57,8 @@
 		try {
 			RequestRecord record = record(exchange.request());
 			record.end(route(exchange, record));
-			// In progress until then: a stop would cut the answer to a slow reader.
+			// The request stays in flight until the response is sent; otherwise a stop
+			// would cut off the response to a slow reader.
 			exchange.awaitSent();
 		}
 		finally {
@@ -66,7 +67,7 @@
 	}
 
 	private Outcome route(Exchange exchange, RequestRecord record) {
-		// Judged again: the body may have taken its time.
+		// Checked again, since the state may have changed while the body arrived.
 		Verdict verdict = this.context.gate().check(exchange.request());
 		if (verdict instanceof Verdict.Refused refused) {
 			return notRun(exchange, record, refused.refusal());
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftBody.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftBody.java
@@ -13,13 +13,13 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * The body of a draft request, checked. Immutable.
+ * The validated body of a draft request. Immutable.
  *
- * @param model the service asked for
+ * @param model the name of the requested service
  * @param prompt the prompt
- * @param maxTokens how many tokens
- * @param stream whether tokens are sent as they come
- * @param ignored fields that were understood but have no effect
+ * @param maxTokens the maximum number of tokens
+ * @param stream whether tokens are sent as they are produced
+ * @param ignored known fields that have no effect
  */
 record DraftBody(String model, String prompt, int maxTokens, boolean stream, Set<String> ignored) {
 
@@ -27,18 +27,17 @@
 
 	private static final Set<String> FIELDS = Set.of("model", "max_tokens", "stream");
 
-	/** Engines of today take no sampling settings; the answer names what was ignored. */
+	/** Engines accept no sampling settings yet; the response lists the ignored fields. */
 	private static final Set<String> IGNORED = Set.of("temperature", "top_p", "seed", "user");
 
 	/**
-	 * Reads a body.
+	 * Parses and validates a body.
 	 * @param bytes the body
-	 * @param chat whether messages stand in place of the prompt
-	 * @param maxPromptChars the longest prompt
-	 * @param maxDraftTokens the most tokens
+	 * @param chat whether the body has messages instead of a prompt
+	 * @param maxPromptChars the maximum length of a prompt
+	 * @param maxDraftTokens the maximum number of tokens
 	 * @return the request
-	 * @throws InvalidBodyException where it cannot be read, with a sentence for the
-	 * caller
+	 * @throws InvalidBodyException if the body is invalid, with a message for the caller
 	 */
 	static DraftBody parse(byte[] bytes, boolean chat, int maxPromptChars, int maxDraftTokens)
 			throws InvalidBodyException {
@@ -80,11 +79,12 @@
 			throw new InvalidBodyException("The body is not valid UTF-8.");
 		}
 		catch (JacksonException ex) {
-			// The library's message would quote the caller's data; its place is enough.
-			String place = (ex.getLocation() != null)
+			// The message of the library would quote the caller's data, so only the
+			// position is reported.
+			String position = (ex.getLocation() != null)
 					? " at line " + ex.getLocation().getLineNr() + ", column " + ex.getLocation().getColumnNr() : "";
 			throw new InvalidBodyException(
-					"The body is not JSON, or is nested deeper than " + Json.MAX_DEPTH + place + ".");
+					"The body is not JSON, or is nested deeper than " + Json.MAX_DEPTH + position + ".");
 		}
 	}
 
@@ -107,25 +107,25 @@
 		return prompt.toString();
 	}
 
-	private static int maxTokens(JsonNode node, int most) throws InvalidBodyException {
+	private static int maxTokens(JsonNode node, int max) throws InvalidBodyException {
 		JsonNode value = node.path("max_tokens");
 		if (value.isMissingNode()) {
-			return Math.min(DEFAULT_TOKENS, most);
+			return Math.min(DEFAULT_TOKENS, max);
 		}
-		if (!value.isIntegralNumber() || value.longValue() < 1 || value.longValue() > most) {
+		if (!value.isIntegralNumber() || value.longValue() < 1 || value.longValue() > max) {
 			throw new InvalidBodyException(
-					"'max_tokens' is '" + value + "'; a whole number from 1 to " + most + " is taken.");
+					"'max_tokens' is '" + value + "'; a whole number from 1 to " + max + " is taken.");
 		}
 		return value.intValue();
 	}
 
 	/**
-	 * The body cannot be read.
+	 * Indicates an invalid body; the message is sent to the caller.
 	 */
 	static final class InvalidBodyException extends Exception {
 
-		InvalidBodyException(String sentence) {
-			super(sentence);
+		InvalidBodyException(String message) {
+			super(message);
 		}
 
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -22,10 +22,10 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Answers the text model API: whole answers, and streams as server-sent events.
+ * Handles the text model API: complete responses and streams of server-sent events.
  * <p>
- * Invariant: a stream ends with {@code [DONE]} only where the whole answer was sent; any
- * other end carries an error event and breaks the connection off. Safe for all threads.
+ * Invariant: a stream ends with {@code [DONE]} only if the complete answer was sent;
+ * otherwise it ends with an error event and an aborted connection. Thread-safe.
  */
 final class DraftHandler {
 
@@ -48,10 +48,10 @@
 			return refuse(exchange, record, Gate.unknownService(passed, body.model()));
 		}
 		record.service(model.name());
-		Span waiting = this.context.tracing().part(record.span(), "admission");
+		Span admission = this.context.tracing().part(record.span(), "admission");
 		Refusal refusal = Admission.enter(this.context, this.context.drafts(), passed.team(), model.answerDeadlineMs(),
 				exchange);
-		waiting.end();
+		admission.end();
 		if (refusal != null) {
 			return refuse(exchange, record, refusal);
 		}
@@ -80,9 +80,9 @@
 		this.context.metrics().retried(model.name(), result.attempts() - 1);
 		this.context.metrics().tokens(model.name(), result.tokens().size());
 		switch (result.outcome()) {
-			case Outcome.Answered ignored -> writer.whole(result.tokens());
-			case Outcome.NotRun notRun -> writer.broken(result.outcome(), notRun.refusal());
-			case Outcome.Unknown unknown -> writer.broken(result.outcome(), unknown.refusal());
+			case Outcome.Answered ignored -> writer.complete(result.tokens());
+			case Outcome.NotRun notRun -> writer.fail(result.outcome(), notRun.refusal());
+			case Outcome.Unknown unknown -> writer.fail(result.outcome(), unknown.refusal());
 		}
 		return result.outcome();
 	}
@@ -106,7 +106,8 @@
 	}
 
 	/**
-	 * Writes tokens in the caller's chosen form. Confined to the request's thread.
+	 * Writes tokens in the format that the caller requested. Confined to the request's
+	 * thread.
 	 */
 	private final class Writer implements TokenSink {
 
@@ -122,7 +123,7 @@
 
 		private final long allowedMs;
 
-		private boolean begun;
+		private boolean started;
 
 		private int count;
 
@@ -137,13 +138,13 @@
 
 		@Override
 		public void token(String token) {
-			EntryContext entry = DraftHandler.this.context;
-			long nowMs = entry.ticker().nowMs();
+			EntryContext context = DraftHandler.this.context;
+			long nowMs = context.ticker().nowMs();
 			if (this.count++ == 0) {
-				entry.metrics().firstToken(this.body.model(), nowMs - this.record.startedAtMs());
+				context.metrics().firstToken(this.body.model(), nowMs - this.record.startedAtMs());
 			}
-			double paceMs = (double) (nowMs - this.enteredMs) * this.body.maxTokens() / this.count;
-			entry.drafts().paced(nowMs, paceMs, this.allowedMs);
+			double estimatedMs = (double) (nowMs - this.enteredMs) * this.body.maxTokens() / this.count;
+			context.drafts().paced(nowMs, estimatedMs, this.allowedMs);
 			if (this.body.stream()) {
 				begin();
 				event(chunk(token, null).toString());
@@ -160,7 +161,7 @@
 			return !DraftHandler.this.context.gate().hasTimeFor(0);
 		}
 
-		void whole(List<String> tokens) {
+		void complete(List<String> tokens) {
 			if (!this.body.stream()) {
 				Reply reply = new Reply(200, headers("application/json"),
 						chunk(String.join("", tokens), "length").toString().getBytes(StandardCharsets.UTF_8));
@@ -173,8 +174,8 @@
 			this.exchange.end(List.of(Map.entry(ErrorReplies.OUTCOME, "answered")));
 		}
 
-		void broken(Outcome outcome, Refusal refusal) {
-			if (!this.begun) {
+		void fail(Outcome outcome, Refusal refusal) {
+			if (!this.started) {
 				this.exchange.reply(ErrorReplies.refusal(outcome, refusal, this.record.requestId()));
 				return;
 			}
@@ -186,8 +187,8 @@
 		}
 
 		private void begin() {
-			if (!this.begun) {
-				this.begun = true;
+			if (!this.started) {
+				this.started = true;
 				this.exchange.begin(200, headers("text/event-stream"));
 			}
 		}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ErrorReplies.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ErrorReplies.java
@@ -7,7 +7,8 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * The form of answers that carry no work. Stateless.
+ * Builds the replies and error objects of requests that were refused or failed.
+ * Stateless.
  */
 final class ErrorReplies {
 
