--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -41,12 +41,12 @@
 import io.whinjunction.trace.Tracing;
 
 /**
- * One running entry: everything between callers and upstreams.
+ * A running entry: accepts the requests of callers and routes them to upstreams.
  * <p>
- * Invariant: {@link #stop()} cuts off no request in progress unless the operator's limit
- * is reached, which is logged. The stop counts from when its signal may have come, by
- * {@link Ticker#system()}: a stopped or starved process is seen, a suspended machine is
- * not. Safe for all threads.
+ * Invariant: {@link #stop()} cuts off no request in progress unless the drain limit of
+ * the operator is reached, which is logged. The time of a stop counts from the earliest
+ * moment at which its signal may have been sent, by {@link Ticker#system()}: this detects
+ * a suspended or starved process, but not a suspended machine. Thread-safe.
  */
 public final class Entry implements AutoCloseable {
 
@@ -56,31 +56,38 @@
 
 	private static final int IDLE_CONNECTION_MS = 10_000;
 
-	private static final double RETRY_PART = 0.1;
+	private static final double RETRY_RATIO = 0.1;
 
-	/** The least reserve; an engine that dies takes a stage from every running draft. */
-	private static final int RETRY_RESERVE = 20;
+	/**
+	 * The minimum reserve of retries; a crashed engine removes a stage from every running
+	 * draft.
+	 */
+	private static final int MIN_RETRY_RESERVE = 20;
 
 	/**
-	 * How long requests that the drain limit ends may take to tell their callers: a look
-	 * of those that wait, and the steps of one token.
+	 * The time for requests that are cut off at the drain limit to send their callers an
+	 * error, in milliseconds. It covers one check interval of queued requests and the
+	 * steps of one token.
 	 */
-	private static final long LAST_WORDS_MS = 500;
+	private static final long FINAL_ERROR_MS = 500;
 
-	/** After a failed call a loop waits a little, so that an outage is not hammered. */
-	private static final long PAUSE_MS = 200;
+	/**
+	 * The minimum delay after a failed call, so that an outage causes no busy retries.
+	 */
+	private static final long RETRY_DELAY_MS = 200;
 
 	/**
-	 * The pause between two notes that the process runs, in milliseconds. A late signal
-	 * may be dated too early by so much, which is half of the default notice.
+	 * The interval at which the process records that it is running, in milliseconds. The
+	 * time of a late signal may be assumed too early by this much, which is half of the
+	 * default notice.
 	 */
-	private static final long NOTE_MS = 500;
+	private static final long RUN_NOTE_INTERVAL_MS = 500;
 
 	/**
-	 * The longest pause between two notes of a process that runs, in milliseconds: a note
-	 * may be as late as its whole pause.
+	 * The maximum time between two such records of a running process, in milliseconds: a
+	 * record may be late by a full interval.
 	 */
-	private static final long LONGEST_PAUSE_MS = 2 * NOTE_MS;
+	private static final long MAX_RUN_NOTE_INTERVAL_MS = 2 * RUN_NOTE_INTERVAL_MS;
 
 	private final EntrySettings settings;
 
@@ -103,8 +110,8 @@
 	/**
 	 * Starts an entry.
 	 * @param settings its settings
-	 * @throws SSLException where the TLS files cannot be read
-	 * @throws IllegalStateException where a port cannot be bound
+	 * @throws SSLException if the TLS files cannot be read
+	 * @throws IllegalStateException if a port cannot be bound
 	 */
 	public Entry(EntrySettings settings) throws SSLException {
 		this(settings, Ticker.system());
@@ -132,14 +139,15 @@
 				new AdmissionQueue(ConcurrencyLimit.learned(settings.limits().plainCalls()),
 						settings.limits().plainCalls()),
 				new PipelineChooser(upstreams, ChoicePolicy.standard(), this.ticker, random), engines, caller, claims,
-				new RetryBudget(RETRY_PART, Math.max(RETRY_RESERVE, settings.limits().streams())), new EntryMetrics(),
-				this.closer.register(Tracing.create(settings.id(), settings.otlpEndpoint())), new DecisionLog());
+				new RetryBudget(RETRY_RATIO, Math.max(MIN_RETRY_RESERVE, settings.limits().streams())),
+				new EntryMetrics(), this.closer.register(Tracing.create(settings.id(), settings.otlpEndpoint())),
+				new DecisionLog());
 		TlsFiles tls = tls(settings);
 		PeerTransport transport = new PeerTransport(peerTls(tls), settings.timing().platformMs());
 		PeerNode node = new PeerNode(new PeerNode.NodeState(members, configuration, freshness, upstreams, limits),
 				transport, this.ticker, random);
 		this.closer.register(PeerServer.start(transport, settings.host(), settings.peerPort(), node));
-		this.runningTimes = new RunningTimes(ticker.nowMs(), LONGEST_PAUSE_MS);
+		this.runningTimes = new RunningTimes(ticker.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
 		loops(new ConfigurationWatcher(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
 				new UpstreamPoller(store, engines, configuration, upstreams), node);
 		this.callers = this.closer.register(HttpServer.start(
@@ -153,7 +161,7 @@
 	}
 
 	/**
-	 * The callers' port.
+	 * Returns the port for callers.
 	 * @return the bound port
 	 */
 	public int callerPort() {
@@ -161,7 +169,7 @@
 	}
 
 	/**
-	 * The operators' port.
+	 * Returns the port for operators.
 	 * @return the bound port
 	 */
 	public int operatorPort() {
@@ -169,35 +177,36 @@
 	}
 
 	/**
-	 * Stops gracefully: not ready at once, new requests are still taken for a notice,
-	 * then refused; what is in progress ends; at the drain limit the rest is told how far
-	 * it came; then everything is closed. A notice that was over before the stop was
-	 * handled is none: new requests are refused at once.
-	 * @return how many requests were cut off because the operator's limit was reached
-	 * @throws InterruptedException where the thread is interrupted
+	 * Stops gracefully. The entry reports at once that it is not ready. It accepts new
+	 * requests until the notice is over and refuses them afterwards. Requests in progress
+	 * complete; at the drain limit the remaining ones send an error with their outcome.
+	 * Then everything is closed. If the notice was already over when the stop was
+	 * handled, new requests are refused at once.
+	 * @return how many requests were cut off because the drain limit was reached
+	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public int stop() throws InterruptedException {
-		// Counted once, and from when the signal may have come: whoever waits for the end
-		// does not wait longer for a process that stood still before its stop or in its
-		// notice.
+		// The times are computed once, from the earliest moment at which the signal may
+		// have been sent: whoever waits for the exit does not wait longer for a process
+		// that was suspended before the stop or during the notice.
 		long handledMs = this.ticker.nowMs();
 		long signalledMs = this.runningTimes.earliestOf(handledMs);
-		long refusesAtMs = signalledMs + this.settings.timing().noticeMs();
-		long exitDeadlineMs = refusesAtMs + this.settings.timing().drainMs();
+		long rejectFromMs = signalledMs + this.settings.timing().noticeMs();
+		long exitDeadlineMs = rejectFromMs + this.settings.timing().drainMs();
 		logger.atInfo()
-			.log("entry %s is stopping, %d in progress, handled %d ms late", this.settings.id(), this.inFlight.count(),
-					handledMs - signalledMs);
+			.log("entry %s is stopping: %d requests in progress, signal handled %d ms late", this.settings.id(),
+					this.inFlight.count(), handledMs - signalledMs);
 		this.context.gate().setExitDeadline(exitDeadlineMs);
 		this.callers.endConnections();
 		this.context.members().leave(this.ticker.nowMs());
-		this.context.gate().rejectRequestsAfter(refusesAtMs - this.ticker.nowMs());
+		this.context.gate().rejectRequestsAfter(rejectFromMs - this.ticker.nowMs());
 		this.callers.refuseArriving();
 		int left = this.inFlight.awaitNone(exitDeadlineMs - this.ticker.nowMs());
 		if (left > 0) {
 			logger.atSevere()
 				.log("entry %s cuts off %d requests: the drain limit of %d ms is reached", this.settings.id(), left,
 						this.settings.timing().drainMs());
-			this.inFlight.awaitNone(LAST_WORDS_MS);
+			this.inFlight.awaitNone(FINAL_ERROR_MS);
 		}
 		close();
 		logger.atInfo().log("entry %s has stopped", this.settings.id());
@@ -211,7 +220,7 @@
 	}
 
 	private void loops(ConfigurationWatcher configurationWatch, UpstreamPoller upstreamPoller, PeerNode node) {
-		loop("running", NOTE_MS, () -> {
+		loop("running", RUN_NOTE_INTERVAL_MS, () -> {
 			this.runningTimes.note(this.ticker.nowMs());
 			return true;
 		});
@@ -235,7 +244,7 @@
 		Thread.ofVirtual().name("whin-" + name).start(() -> {
 			while (!this.closed) {
 				try {
-					this.ticker.sleepMs(well(name, step) ? periodMs : Math.max(PAUSE_MS, periodMs));
+					this.ticker.sleepMs(runStep(name, step) ? periodMs : Math.max(RETRY_DELAY_MS, periodMs));
 				}
 				catch (InterruptedException ex) {
 					return;
@@ -244,12 +253,12 @@
 		});
 	}
 
-	private static boolean well(String name, BooleanSupplier step) {
+	private static boolean runStep(String name, BooleanSupplier step) {
 		try {
 			return step.getAsBoolean();
 		}
 		catch (RuntimeException ex) {
-			logger.atSevere().withCause(ex).log("the %s loop failed and goes on", name);
+			logger.atSevere().withCause(ex).log("the %s loop failed and will be retried", name);
 			return false;
 		}
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/EntryContext.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/EntryContext.java
@@ -15,24 +15,26 @@
 import io.whinjunction.trace.Tracing;
 
 /**
- * What the handlers of one entry share. Immutable; its parts are safe for all threads.
+ * The components that the handlers of one entry share. Immutable; the components are
+ * thread-safe.
  *
  * @param settings the entry's settings
  * @param ticker the clock
- * @param gate the decision by a request's head
- * @param upstreams what is known of upstreams
- * @param members the other entries
- * @param limits this entry's part of the teams' rates
- * @param drafts admission of drafts
- * @param calls admission of plain calls, apart, so that a poll passes queued drafts
- * @param chooser the choice of upstreams
- * @param engines the way to engines
- * @param caller the way to plain services
- * @param claims claims of actions
- * @param budget the budget for retries
- * @param metrics metrics
- * @param tracing traces
- * @param decisions the newest decisions
+ * @param gate decides by its head whether a request is accepted
+ * @param upstreams the known upstreams
+ * @param members the entries, including this one
+ * @param limits the share of this entry in the rates of the teams
+ * @param drafts the admission queue of drafts
+ * @param calls the admission queue of plain calls; it is separate so that a plain call
+ * does not wait behind queued drafts
+ * @param chooser chooses upstreams
+ * @param engines the client of engines
+ * @param caller the client of plain services
+ * @param claims the claims of actions
+ * @param budget the retry budget
+ * @param metrics the metrics
+ * @param tracing the tracing
+ * @param decisions the most recent decisions
  */
 record EntryContext(EntrySettings settings, Ticker ticker, Gate gate, UpstreamTable upstreams, MembershipTable members,
 		TeamLimits limits, AdmissionQueue drafts, AdmissionQueue calls, PipelineChooser chooser, EngineClient engines,
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/EntryMain.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/EntryMain.java
@@ -11,8 +11,8 @@
 import io.whinjunction.log.Logs;
 
 /**
- * The {@code whin-entry} program. Exit codes: 0 stopped gracefully, 1 requests were cut
- * off by the drain limit, 2 the settings or arguments are wrong.
+ * The {@code whin-entry} program. Exit codes: 0 after a graceful stop, 1 if requests were
+ * cut off at the drain limit, 2 if the settings or arguments are invalid.
  */
 @Command(name = "whin-entry", description = "Takes callers' requests and routes them to upstreams")
 public final class EntryMain {
@@ -67,7 +67,7 @@
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 		}
-		// The platform's own code for a signal would not tell a graceful stop.
+		// The default exit code after a signal would not show that the stop was graceful.
 		Runtime.getRuntime().halt(0);
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/EntrySettings.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/EntrySettings.java
@@ -10,20 +10,20 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * An entry's own settings, from one TOML file. Immutable.
+ * The settings of an entry, read from a TOML file. Immutable.
  *
- * @param id this instance's name
- * @param failureDomain where it is
+ * @param id the name of this instance
+ * @param failureDomain the failure domain of this instance
  * @param host the address to bind
- * @param callerPort for callers; 0 for any
- * @param operatorPort for operators; 0 for any
- * @param peerPort for other entries
- * @param platform the object API, {@code HOST:PORT}
- * @param seeds some entries' peer addresses
- * @param otlpEndpoint where traces go; empty for nowhere
- * @param limits bounds on work and input
- * @param timing timers
- * @param tls TLS files, or {@code null} for none
+ * @param callerPort the port for callers; 0 for any free port
+ * @param operatorPort the port for operators; 0 for any free port
+ * @param peerPort the port for other entries
+ * @param platform the address of the object API, {@code HOST:PORT}
+ * @param seeds the peer addresses of some entries
+ * @param otlpEndpoint the endpoint that receives traces; empty for none
+ * @param limits the limits on work and input
+ * @param timing the intervals and timeouts
+ * @param tls the TLS files, or {@code null} for plain text
  */
 public record EntrySettings(String id, String failureDomain, String host, int callerPort, int operatorPort,
 		int peerPort, String platform, List<String> seeds, String otlpEndpoint, Limits limits, Timing timing, Tls tls) {
@@ -33,9 +33,9 @@
 	private static final int HOUR_MS = 3_600_000;
 
 	/**
-	 * Reads and checks a settings file.
+	 * Reads and validates a settings file.
 	 * @param file the file
-	 * @return the settings, or all faults
+	 * @return the settings, or all problems
 	 */
 	public static Checked read(Path file) {
 		List<Problem> problems = new ArrayList<>();
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * Where peers reach this entry.
+	 * Returns the address at which peers reach this entry.
 	 * @return {@code HOST:PORT}
 	 */
 	public String peerAddress() {
@@ -62,15 +62,15 @@
 	}
 
 	/**
-	 * Bounds on work and input.
+	 * Limits on work and input.
 	 *
-	 * @param streams drafts that may run at once
-	 * @param waiting drafts that may wait
-	 * @param plainCalls plain calls that may run at once
-	 * @param bodyBytes larger bodies are refused
-	 * @param headerBytes larger headers are refused
-	 * @param promptChars longer prompts are refused
-	 * @param draftTokens more tokens are refused
+	 * @param streams the maximum number of running drafts
+	 * @param waiting the maximum number of queued drafts
+	 * @param plainCalls the maximum number of running plain calls, and of queued ones
+	 * @param bodyBytes the maximum size of a request body
+	 * @param headerBytes the maximum size of the request headers
+	 * @param promptChars the maximum length of a prompt
+	 * @param draftTokens the maximum number of tokens of a draft
 	 */
 	public record Limits(int streams, int waiting, int plainCalls, int bodyBytes, int headerBytes, int promptChars,
 			int draftTokens) {
@@ -93,17 +93,17 @@
 	}
 
 	/**
-	 * Timers, in milliseconds.
+	 * Intervals and timeouts, in milliseconds.
 	 *
-	 * @param requestMs within how long a request must have arrived
-	 * @param platformMs limit of a platform call
-	 * @param watchMs how long a watch waits
-	 * @param gossipMs period of exchanges between entries
-	 * @param instancesMs period of instance lists and engine reports
-	 * @param confirmationMs how old the proof of the configuration may be
-	 * @param suspicionMs how long a silent entry stays a suspect
-	 * @param noticeMs how long a stopping entry still takes new requests, so that the
-	 * balancer can see that it is not ready
+	 * @param requestMs the time within which a request must have arrived completely
+	 * @param platformMs the timeout of a platform call
+	 * @param watchMs the timeout of a watch
+	 * @param gossipMs the interval of exchanges between entries
+	 * @param instancesMs the interval of queries for the instance list and engine reports
+	 * @param confirmationMs the maximum age of the freshness proof of the configuration
+	 * @param suspicionMs how long an entry that does not respond stays a suspect
+	 * @param noticeMs how long a stopping entry still accepts new requests, so that the
+	 * balancer can detect that it is not ready
 	 * @param drainMs how long a stopping entry waits for requests in progress
 	 */
 	public record Timing(int requestMs, int platformMs, int watchMs, int gossipMs, int instancesMs, int confirmationMs,
@@ -130,8 +130,8 @@
 	 * TLS files.
 	 *
 	 * @param certificate the certificate chain
-	 * @param key its private key
-	 * @param authority whom to trust between entries
+	 * @param key the private key of the certificate
+	 * @param authority the certificate authority trusted between entries
 	 */
 	public record Tls(Path certificate, Path key, Path authority) {
 
@@ -149,12 +149,12 @@
 	}
 
 	/**
-	 * The result of reading.
+	 * The result of reading a settings file.
 	 */
 	public sealed interface Checked {
 
 		/**
-		 * Everything is in order.
+		 * The settings are valid.
 		 *
 		 * @param settings the settings
 		 */
@@ -162,9 +162,9 @@
 		}
 
 		/**
-		 * Something is not.
+		 * The settings are invalid.
 		 *
-		 * @param problems all faults
+		 * @param problems all problems
 		 */
 		record Invalid(List<Problem> problems) implements Checked {
 		}
