--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Gate.java
@@ -19,23 +19,27 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * Decides by a request's head whether this entry may take it.
+ * Decides by the head of a request whether this entry may accept it.
  * <p>
- * Invariant: nothing passes while this entry cannot tell whether its configuration is
- * current, and no team's data passes an entry outside the team's places. Safe for all
- * threads.
+ * Invariant: no request passes while this entry cannot confirm that its configuration is
+ * current, and no request passes an entry outside the permitted places of its team.
+ * Thread-safe.
  */
 final class Gate {
 
 	/**
-	 * A read of a platform that is well takes some milliseconds. One that takes the whole
-	 * platform limit, twice that on a late process, or a watch that ends no sooner, is
-	 * not waited for: a draft's caller would see no token for many seconds.
+	 * The maximum wait for a freshness proof, in milliseconds. A read from a healthy
+	 * platform takes a few milliseconds. The wait does not cover a read that takes the
+	 * full platform timeout (twice that on a delayed process) or a watch that runs to its
+	 * timeout: the caller of a draft would receive no token for many seconds.
 	 */
 	static final long MAX_PROOF_WAIT_MS = 1000;
 
-	/** A proof is had by one call, which takes some milliseconds. */
-	private static final long PROOF_LOOK_MS = 10;
+	/**
+	 * The interval of checks for a freshness proof, in milliseconds. A proof takes one
+	 * call of a few milliseconds.
+	 */
+	private static final long PROOF_CHECK_INTERVAL_MS = 10;
 
 	private static final int RETRY_AFTER_S = 1;
 
@@ -63,17 +67,18 @@
 	}
 
 	/**
-	 * The entry has been told to stop.
-	 * @param newExitDeadlineMs when it ends whatever still runs
+	 * Sets the time at which this stopping entry ends the requests that still run.
+	 * @param newExitDeadlineMs the time
 	 */
 	void setExitDeadline(long newExitDeadlineMs) {
 		this.exitDeadlineMs = newExitDeadlineMs;
 	}
 
 	/**
-	 * Whether work that is begun now can be expected to end before this entry does.
-	 * @param neededMs how long it takes
-	 * @return {@code true} while the entry is not stopping
+	 * Returns whether work that is started now can complete before the exit deadline.
+	 * @param neededMs the expected duration of the work
+	 * @return whether the time suffices; always {@code true} while the entry is not
+	 * stopping
 	 */
 	boolean hasTimeFor(long neededMs) {
 		return this.ticker.nowMs() + neededMs < this.exitDeadlineMs;
@@ -84,13 +89,14 @@
 	}
 
 	/**
-	 * Ends the taking of requests: not ready at once, refusing after a notice. Without a
-	 * notice both begin at one moment: on a starved machine the thread that stops may be
-	 * held up between two writes, and whoever saw the entry not ready would have a
-	 * request taken that belongs to another entry.
-	 * @param noticeMs how long requests are still taken, so that a balancer can see that
-	 * this entry is not ready; none where it is negative
-	 * @throws InterruptedException where the thread is interrupted
+	 * Stops accepting requests: reports not ready at once and refuses requests after the
+	 * notice. Without a notice both take effect in a single write. With two writes, the
+	 * stopping thread could be delayed between them on a starved machine, and the entry
+	 * would accept requests after it was seen as not ready, which belong to another
+	 * entry.
+	 * @param noticeMs how long requests are still accepted, so that a balancer can detect
+	 * that this entry is not ready; zero or less for no notice
+	 * @throws InterruptedException if the thread is interrupted
 	 */
 	void rejectRequestsAfter(long noticeMs) throws InterruptedException {
 		if (noticeMs > 0) {
@@ -122,14 +128,15 @@
 	}
 
 	/**
-	 * Where a team's data may be now.
-	 * @param team the team
-	 * @return the placement, or {@code null} where the team is gone, this entry must not
-	 * have its data any more, or the configuration cannot be confirmed
+	 * Returns where the data of a team may currently be.
+	 * @param team the name of the team
+	 * @return the placement, or {@code null} if the team no longer exists, if this entry
+	 * may no longer have its data, or if the configuration cannot be confirmed
 	 */
 	Placement placement(String team) {
-		// The proof is asked for first: one that comes between the two looks may be that
-		// of a tightened revision, and proves nothing about a view taken before it.
+		// The proof is checked before the view is read: a proof that arrives in between
+		// may be that of a revision with tightened rules, and proves nothing about an
+		// earlier view.
 		if (!this.freshness.mayServe(this.ticker.nowMs())) {
 			return null;
 		}
@@ -138,13 +145,14 @@
 	}
 
 	/**
-	 * Where the data of a draft that has begun may be now. The failure it is there for:
-	 * an entry stood still until its proof ran out, gave up all its drafts when it ran
-	 * again, and had the next proof a few milliseconds later. A draft whose caller
-	 * already has a part waits for that proof; nothing is sent meanwhile, and what it
-	 * waits for is judged by the configuration of that time.
-	 * @param team the team
-	 * @param over whether the draft ends anyway, so that there is nothing to wait for
+	 * Returns where the data of a draft that has started may currently be, and waits for
+	 * a freshness proof if necessary. Guards against drafts that break off needlessly: an
+	 * entry was suspended until its proof expired, abandoned all its drafts when it
+	 * resumed, and received the next proof a few milliseconds later. A draft whose caller
+	 * has already received tokens waits for that proof; no step is sent meanwhile, and
+	 * the result follows from the configuration at the end of the wait.
+	 * @param team the name of the team
+	 * @param over whether the draft ends for another reason, which also ends the wait
 	 * @return as {@link #placement}, after at most {@link #MAX_PROOF_WAIT_MS}
 	 */
 	Placement awaitPlacement(String team, BooleanSupplier over) {
@@ -152,7 +160,7 @@
 		try {
 			while (!this.freshness.mayServe(this.ticker.nowMs()) && this.ticker.nowMs() < endMs
 					&& !over.getAsBoolean()) {
-				this.ticker.sleepMs(PROOF_LOOK_MS);
+				this.ticker.sleepMs(PROOF_CHECK_INTERVAL_MS);
 			}
 		}
 		catch (InterruptedException ex) {
@@ -210,10 +218,10 @@
 	sealed interface Verdict {
 
 		/**
-		 * The request may go on.
+		 * The request may proceed.
 		 *
-		 * @param configuration the configuration that it was judged by
-		 * @param placement where its data may be
+		 * @param configuration the configuration that the decision is based on
+		 * @param placement where the data of the request may be
 		 */
 		record Passed(Configuration configuration, Placement placement) implements Verdict {
 
@@ -229,9 +237,9 @@
 		}
 
 		/**
-		 * The request did not run.
+		 * The request is refused and does not run.
 		 *
-		 * @param refusal why
+		 * @param refusal the reason
 		 */
 		record Refused(Refusal refusal) implements Verdict {
 		}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/InFlightRequests.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/InFlightRequests.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Counts requests in progress, so that a stop can wait for them. Safe for all threads.
+ * Counts the requests in progress, so that a stop can wait for them. Thread-safe.
  */
 final class InFlightRequests {
 
@@ -47,17 +47,17 @@
 	}
 
 	/**
-	 * Waits until nothing is in progress.
-	 * @param limitMs how long at most
-	 * @return what is still in progress
-	 * @throws InterruptedException where the thread is interrupted
+	 * Waits until no request is in progress.
+	 * @param timeoutMs the maximum wait
+	 * @return the number of requests still in progress
+	 * @throws InterruptedException if the thread is interrupted
 	 */
-	int awaitNone(long limitMs) throws InterruptedException {
+	int awaitNone(long timeoutMs) throws InterruptedException {
 		this.lock.lock();
 		try {
-			long leftNs = TimeUnit.MILLISECONDS.toNanos(limitMs);
-			while (this.count > 0 && leftNs > 0) {
-				leftNs = this.changed.awaitNanos(leftNs);
+			long remainingNs = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+			while (this.count > 0 && remainingNs > 0) {
+				remainingNs = this.changed.awaitNanos(remainingNs);
 			}
 			return this.count;
 		}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/KeyRing.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/KeyRing.java
@@ -12,21 +12,21 @@
 import io.whinjunction.configuration.Team;
 
 /**
- * Finds the team of a bearer key.
+ * Maps bearer keys to their teams.
  * <p>
  * Invariant: every hash is compared in constant time and none is skipped, so that the
- * time taken tells nothing about a key. Immutable, safe for all threads.
+ * duration of a lookup reveals nothing about a key. Immutable.
  */
 final class KeyRing {
 
 	private static final String SCHEME = "bearer ";
 
-	private final List<Entry> entries = new ArrayList<>();
+	private final List<KeyHash> hashes = new ArrayList<>();
 
 	KeyRing(Configuration configuration) {
 		for (Team team : configuration.teams().values()) {
 			for (String hash : team.keyHashes()) {
-				this.entries.add(new Entry(HexFormat.of().parseHex(hash), team));
+				this.hashes.add(new KeyHash(HexFormat.of().parseHex(hash), team));
 			}
 		}
 	}
@@ -37,9 +37,9 @@
 		}
 		byte[] hash = sha256(authorization.get().substring(SCHEME.length()).strip());
 		Team found = null;
-		for (Entry entry : this.entries) {
-			if (MessageDigest.isEqual(hash, entry.hash())) {
-				found = entry.team();
+		for (KeyHash candidate : this.hashes) {
+			if (MessageDigest.isEqual(hash, candidate.hash())) {
+				found = candidate.team();
 			}
 		}
 		return Optional.ofNullable(found);
@@ -50,11 +50,11 @@
 			return MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8));
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every Java platform has SHA-256", ex);
+			throw new IllegalStateException("SHA-256 is not available", ex);
 		}
 	}
 
-	private record Entry(byte[] hash, Team team) {
+	private record KeyHash(byte[] hash, Team team) {
 	}
 
 }
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
@@ -19,7 +19,7 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * The operators' port of an entry. Safe for all threads.
+ * Handles the requests on the operator port of an entry. Thread-safe.
  */
 final class OperatorHandler implements Handler {
 
@@ -107,10 +107,10 @@
 		node.put("waiting", this.context.drafts().waiting());
 		ArrayNode members = node.putArray("members");
 		for (Member member : this.context.members().members()) {
-			ObjectNode one = members.addObject();
-			one.put("id", member.id());
-			one.put("failure_domain", member.failureDomain());
-			one.put("status", member.status().name().toLowerCase(Locale.ROOT));
+			ObjectNode memberNode = members.addObject();
+			memberNode.put("id", member.id());
+			memberNode.put("failure_domain", member.failureDomain());
+			memberNode.put("status", member.status().name().toLowerCase(Locale.ROOT));
 		}
 		return node;
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
@@ -13,15 +13,16 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Gathers what is said about one request when it ends: a log line, metrics, the span's
- * end and the entry in the decision log. Confined to the request's thread.
+ * Collects the data of one request and reports it when the request ends: as a log line,
+ * in metrics, in the trace span and in the decision log. Confined to the request's
+ * thread.
  */
 final class RequestRecord {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** Bounds the line; the decision log holds all stages. */
-	private static final int MOST_FAILED_LOGGED = 16;
+	/** Limits the length of the log line; the decision log has all stages. */
+	private static final int MAX_FAILED_LOGGED = 16;
 
 	private final EntryContext context;
 
@@ -33,7 +34,7 @@
 
 	private final ArrayNode hops = Json.MAPPER.createArrayNode();
 
-	/** The stages that failed, with the kind of their end. */
+	/** The failed stages, each with the kind of its end. */
 	private String failed = "";
 
 	private String team = "none";
@@ -84,7 +85,7 @@
 		}
 		this.failed = taken.stream()
 			.filter((hop) -> !hop.end().equals("ok"))
-			.limit(MOST_FAILED_LOGGED)
+			.limit(MAX_FAILED_LOGGED)
 			.map((hop) -> hop.upstream() + " after " + hop.steps() + " steps: " + endKind(hop.end()))
 			.collect(Collectors.joining("; "));
 	}
@@ -120,9 +121,10 @@
 	}
 
 	/**
-	 * What of an end may be logged. An engine's refusal is its own text and may quote the
-	 * caller's prompt, which the line must not hold; the decision log has it.
-	 * @param end a hop's end: the kind, where a text follows with a colon between
+	 * Returns the part of a hop's end that may be logged. The refusal of an engine is
+	 * free text and may quote the caller's prompt, which must not appear in the log line;
+	 * the decision log has the full text.
+	 * @param end the end of a hop: its kind, optionally followed by a colon and a text
 	 * @return the kind
 	 */
 	static String endKind(String end) {
