--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ConfigurationWatcher.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ConfigurationWatcher.java
@@ -9,7 +9,8 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * Follows the manifest in the object API. Confined to one thread.
+ * Watches the manifest in the object API and offers new revisions to the configuration
+ * holder. Confined to one thread.
  */
 final class ConfigurationWatcher {
 
@@ -23,70 +24,72 @@
 
 	private final Ticker ticker;
 
-	private final long watchMs;
+	private final long watchTimeoutMs;
 
 	private long seenVersion;
 
 	ConfigurationWatcher(ObjectStore store, ConfigurationHolder configuration, Freshness freshness, Ticker ticker,
-			long watchMs) {
+			long watchTimeoutMs) {
 		this.store = store;
 		this.configuration = configuration;
 		this.freshness = freshness;
 		this.ticker = ticker;
-		this.watchMs = watchMs;
+		this.watchTimeoutMs = watchTimeoutMs;
 	}
 
 	/**
-	 * Waits for a newer manifest once; where the proof of the one held has run out, asks
-	 * for it at once, since a watch is answered only when its time is over.
-	 * @return whether the platform answered; where it was asked for a proof, whether that
-	 * is there
+	 * Watches once for a newer manifest. If the freshness proof of the current one has
+	 * expired, reads the manifest instead, since a watch without a change returns only
+	 * after its timeout.
+	 * @return whether the platform answered; after a read for a new proof, whether a
+	 * valid proof is now held
 	 */
 	boolean step() {
-		long askedAtMs = this.ticker.nowMs();
-		if (this.seenVersion > 0 && !this.freshness.mayServe(askedAtMs)) {
+		long requestedAtMs = this.ticker.nowMs();
+		if (this.seenVersion > 0 && !this.freshness.mayServe(requestedAtMs)) {
 			if (this.store.read(Manifest.KEY) instanceof Read.Found found) {
-				take(found, askedAtMs);
+				take(found, requestedAtMs);
 			}
 			return this.freshness.mayServe(this.ticker.nowMs());
 		}
-		return switch (this.store.watch(Manifest.KEY, this.seenVersion, this.watchMs)) {
+		return switch (this.store.watch(Manifest.KEY, this.seenVersion, this.watchTimeoutMs)) {
 			case Read.Found found -> {
-				take(found, askedAtMs);
+				take(found, requestedAtMs);
 				yield true;
 			}
 			case Read.Absent ignored -> {
-				confirm(askedAtMs);
+				confirm(requestedAtMs);
 				yield true;
 			}
 			case Read.Unavailable ignored -> false;
 		};
 	}
 
-	private void take(Read.Found found, long askedAtMs) {
+	private void take(Read.Found found, long requestedAtMs) {
 		this.seenVersion = found.version();
 		Manifest manifest = Manifest.parse(found.value());
 		if (manifest == null) {
-			logger.atSevere().log("the manifest at version %d cannot be read and is not taken", found.version());
+			logger.atSevere().log("manifest at version %d cannot be parsed and is ignored", found.version());
 			return;
 		}
 		if (this.configuration.offer(manifest)) {
 			logger.atInfo().log("configuration revision %d is in force", manifest.revision());
 		}
 		if (manifest.revision() == this.configuration.configuration().revision()) {
-			confirm(askedAtMs);
+			confirm(requestedAtMs);
 		}
 		else {
 			logger.atSevere()
-				.log("the platform holds revision %d, this entry %d; a configuration never goes back",
+				.log("the platform holds configuration revision %d, but this entry has %d; older revisions are ignored",
 						manifest.revision(), this.configuration.configuration().revision());
 		}
 	}
 
-	private void confirm(long askedAtMs) {
-		// Nothing newer at the platform proves something only about what came from it.
+	private void confirm(long requestedAtMs) {
+		// The absence of a newer manifest proves only that a manifest read from the
+		// platform is current.
 		if (this.seenVersion > 0) {
-			this.freshness.confirmed(askedAtMs);
+			this.freshness.confirmed(requestedAtMs);
 		}
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -31,11 +31,11 @@
 import io.whinjunction.session.Hop;
 
 /**
- * Passes calls on to plain services.
+ * Forwards calls to plain services.
  * <p>
  * Invariant: a call that may not be repeated is written to at most one upstream, at most
- * once; with an idempotency key this holds across entries and repeats of the caller. Safe
- * for all threads.
+ * once; with an idempotency key this holds across entries and repetitions by the caller.
+ * Thread-safe.
  */
 final class ServiceHandler {
 
@@ -43,8 +43,11 @@
 
 	private static final int MAX_KEY_CHARS = 256;
 
-	/** Headers of one hop, of the caller's identity, and of this system's own. */
-	private static final Set<String> NOT_PASSED = Set.of("connection", "keep-alive", "proxy-authenticate",
+	/**
+	 * Headers that are not forwarded: hop-by-hop headers, those that identify the caller,
+	 * and those of this system.
+	 */
+	private static final Set<String> NOT_FORWARDED = Set.of("connection", "keep-alive", "proxy-authenticate",
 			"proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade", "host", "content-length",
 			"authorization", "expect", "http2-settings", "traceparent", ErrorReplies.OUTCOME, ErrorReplies.REQUEST_ID);
 
@@ -71,9 +74,9 @@
 		try {
 			String target = (slash >= 0) ? rest.substring(slash) : "/";
 			String query = exchange.request().query();
-			Sending sending = new Sending(exchange, record, passed, service,
+			PendingCall call = new PendingCall(exchange, record, passed, service,
 					query.isEmpty() ? target : target + "?" + query);
-			return dispatch(sending);
+			return dispatch(call);
 		}
 		finally {
 			long nowMs = this.context.ticker().nowMs();
@@ -82,175 +85,177 @@
 		}
 	}
 
-	private Outcome dispatch(Sending sending) {
-		Request request = sending.exchange.request();
-		if (sending.service.repeatableMethods().contains(request.method())) {
-			return finish(sending, send(sending, true));
+	private Outcome dispatch(PendingCall call) {
+		Request request = call.exchange.request();
+		if (call.service.repeatableMethods().contains(request.method())) {
+			return finish(call, send(call, true));
 		}
 		Optional<String> key = request.header("idempotency-key");
 		if (key.isEmpty()) {
-			// Without a key each request is an action of its own.
-			return finish(sending, send(sending, false));
+			// Without a key each request is a separate action.
+			return finish(call, send(call, false));
 		}
 		if (key.get().isBlank() || key.get().length() > MAX_KEY_CHARS) {
-			return notRun(sending.exchange, sending.record, Refusal.permanent(Code.BAD_REQUEST,
+			return notRun(call.exchange, call.record, Refusal.permanent(Code.BAD_REQUEST,
 					"The idempotency-key is empty or longer than " + MAX_KEY_CHARS + " characters."));
 		}
-		return once(sending, key.get());
+		return callOnce(call, key.get());
 	}
 
-	private Outcome once(Sending sending, String key) {
-		Request request = sending.exchange.request();
-		ActionName action = new ActionName(sending.passed.team().name(), sending.service.name(), key);
+	private Outcome callOnce(PendingCall call, String key) {
+		Request request = call.exchange.request();
+		ActionName action = new ActionName(call.passed.team().name(), call.service.name(), key);
 		String bodyHash = ActionName.sha256(request.method().getBytes(StandardCharsets.UTF_8),
-				sending.target.getBytes(StandardCharsets.UTF_8), request.body());
-		Span span = this.context.tracing().part(sending.record.span(), "claim");
+				call.target.getBytes(StandardCharsets.UTF_8), request.body());
+		Span span = this.context.tracing().part(call.record.span(), "claim");
 		Claimed claimed = this.context.claims().claim(action, bodyHash);
 		span.end();
 		return switch (claimed) {
-			case Claimed.Mine mine -> sendClaimed(sending, mine.claim());
-			case Claimed.Answered answered -> replay(sending, answered.answer());
-			case Claimed.InDoubt ignored -> unknown(sending,
+			case Claimed.Mine mine -> sendClaimed(call, mine.claim());
+			case Claimed.Answered answered -> replay(call, answered.answer());
+			case Claimed.InDoubt ignored -> unknown(call,
 					Refusal.temporary(Code.ACTION_IN_DOUBT,
 							"The first request with this idempotency-key is running, or its fate is unknown; "
 									+ "it is never sent again.",
 							RETRY_AFTER_S));
 			case Claimed.OtherBody ignored ->
-				notRun(sending.exchange, sending.record, Refusal.permanent(Code.IDEMPOTENCY_KEY_REUSED,
+				notRun(call.exchange, call.record, Refusal.permanent(Code.IDEMPOTENCY_KEY_REUSED,
 						"This idempotency-key was used with another method, path or body."));
-			case Claimed.StoreDown ignored -> platformDown(sending);
-			case Claimed.NotThere ignored -> platformDown(sending);
+			case Claimed.StoreDown ignored -> platformDown(call);
+			case Claimed.NotThere ignored -> platformDown(call);
 		};
 	}
 
-	private Outcome platformDown(Sending sending) {
-		return notRun(sending.exchange, sending.record, Refusal.temporary(Code.PLATFORM_UNAVAILABLE,
+	private Outcome platformDown(PendingCall call) {
+		return notRun(call.exchange, call.record, Refusal.temporary(Code.PLATFORM_UNAVAILABLE,
 				"The action could not be claimed, so it was not sent.", RETRY_AFTER_S));
 	}
 
-	private Outcome sendClaimed(Sending sending, Claim claim) {
-		Sent sent = send(sending, false);
-		switch (sent) {
-			case Sent.Answered answered -> this.context.claims()
+	private Outcome sendClaimed(PendingCall call, Claim claim) {
+		CallOutcome outcome = send(call, false);
+		switch (outcome) {
+			case CallOutcome.Answered answered -> this.context.claims()
 				.answered(claim, new StoredAnswer(answered.response().status(), passed(answered.response().headers()),
 						answered.response().body()));
-			case Sent.NotSent ignored -> this.context.claims().release(claim);
-			case Sent.Lost ignored -> {
-				// The claim stays without an answer: nobody sends this action again.
+			case CallOutcome.NotSent ignored -> this.context.claims().release(claim);
+			case CallOutcome.Lost ignored -> {
+				// The claim stays without an answer, so that no entry sends this action
+				// again.
 			}
 		}
-		return finish(sending, sent);
+		return finish(call, outcome);
 	}
 
-	private Outcome replay(Sending sending, StoredAnswer answer) {
-		boolean bodyGone = answer.headers().stream().anyMatch((header) -> header.getKey().equals("whin-body-kept"));
-		if (bodyGone) {
-			return unknown(sending, Refusal.permanent(Code.ACTION_IN_DOUBT,
+	private Outcome replay(PendingCall call, StoredAnswer answer) {
+		boolean bodyDropped = answer.headers().stream().anyMatch((header) -> header.getKey().equals("whin-body-kept"));
+		if (bodyDropped) {
+			return unknown(call, Refusal.permanent(Code.ACTION_IN_DOUBT,
 					"The action ran with status " + answer.status() + "; its answer was too large to keep."));
 		}
-		sending.exchange
+		call.exchange
 			.reply(new Reply(answer.status(), answer.headers(), answer.body()).with(ErrorReplies.OUTCOME, "answered")
-				.with(ErrorReplies.REQUEST_ID, sending.record.requestId())
+				.with(ErrorReplies.REQUEST_ID, call.record.requestId())
 				.with("whin-replayed", "true"));
 		return new Outcome.Answered();
 	}
 
-	// Sends to one upstream after the other. Before a byte is written another may be
-	// tried; after that only where the call may be repeated, and while the budget lasts.
-	private Sent send(Sending sending, boolean repeatable) {
+	// Tries one upstream after the other, as long as the retry budget permits. After a
+	// byte of the call may have been written, only repeatable calls are retried.
+	private CallOutcome send(PendingCall call, boolean repeatable) {
 		this.context.budget().requested();
 		Set<String> avoided = new HashSet<>();
 		boolean lost = false;
 		while (true) {
-			Choice choice = this.context.chooser().plain(sending.service, sending.passed.placement(), avoided);
+			Choice choice = this.context.chooser().plain(call.service, call.passed.placement(), avoided);
 			if (!(choice instanceof Choice.Chosen chosen)) {
-				return lost ? new Sent.Lost("no upstream left to try") : new Sent.NotSent(refusal(sending, choice));
+				return lost ? new CallOutcome.Lost("no upstream left to try")
+						: new CallOutcome.NotSent(refusal(call, choice));
 			}
 			Upstream upstream = chosen.pipeline().stages().get(0);
-			CallResult result = call(sending, upstream, repeatable);
+			CallResult result = call(call, upstream, repeatable);
 			if (result instanceof CallResult.Response response) {
-				return new Sent.Answered(response);
+				return new CallOutcome.Answered(response);
 			}
 			avoided.add(upstream.id());
 			lost |= result instanceof CallResult.Lost;
 			boolean mayRetry = (!lost || repeatable) && this.context.budget().tryRetry();
 			if (!mayRetry) {
-				return lost ? new Sent.Lost("the upstream broke off or was silent")
-						: new Sent.NotSent(Refusal.temporary(Code.NO_UPSTREAM,
-								"No upstream of '" + sending.service.name() + "' could be reached.", RETRY_AFTER_S));
+				return lost ? new CallOutcome.Lost("the upstream broke off or was silent")
+						: new CallOutcome.NotSent(Refusal.temporary(Code.NO_UPSTREAM,
+								"No upstream of '" + call.service.name() + "' could be reached.", RETRY_AFTER_S));
 			}
-			this.context.metrics().retried(sending.service.name(), 1);
+			this.context.metrics().retried(call.service.name(), 1);
 		}
 	}
 
-	private CallResult call(Sending sending, Upstream upstream, boolean repeatable) {
-		Request request = sending.exchange.request();
+	private CallResult call(PendingCall call, Upstream upstream, boolean repeatable) {
+		Request request = call.exchange.request();
 		UpstreamLoad load = this.context.upstreams().load(upstream.id());
 		long startMs = this.context.ticker().nowMs();
 		load.start();
 		CallResult result;
 		try {
-			// A call that may not be repeated takes a new connection: on a kept one that
-			// has silently died, it would be written and its fate unknown.
+			// A call that may not be repeated uses a new connection: written to a kept
+			// connection that has silently died, its outcome would be unknown.
 			result = this.context.caller()
-				.call(new Call(request.method(), upstream.address(), sending.target, forwarded(sending), request.body(),
-						sending.service.callTimeoutMs(), !repeatable));
+				.call(new Call(request.method(), upstream.address(), call.target, forwarded(call), request.body(),
+						call.service.callTimeoutMs(), !repeatable));
 		}
 		finally {
 			load.end();
 		}
 		long tookMs = this.context.ticker().nowMs() - startMs;
-		boolean well = result instanceof CallResult.Response;
-		if (well) {
+		boolean succeeded = result instanceof CallResult.Response;
+		if (succeeded) {
 			load.succeeded(tookMs);
 		}
 		else {
 			load.failed(this.context.ticker().nowMs());
 		}
-		sending.record.hops(List.of(new Hop(1, upstream.id(), upstream.failureDomain(), null, 0, 1, tookMs,
-				well ? "ok" : result.getClass().getSimpleName())));
+		call.record.hops(List.of(new Hop(1, upstream.id(), upstream.failureDomain(), null, 0, 1, tookMs,
+				succeeded ? "ok" : result.getClass().getSimpleName())));
 		this.context.tracing()
-			.endedHop(sending.record.span(), "call " + sending.service.name(),
-					Attributes.builder().put("whin.upstream", upstream.id()).build(), tookMs, well);
+			.endedHop(call.record.span(), "call " + call.service.name(),
+					Attributes.builder().put("whin.upstream", upstream.id()).build(), tookMs, succeeded);
 		return result;
 	}
 
-	private List<Map.Entry<String, String>> forwarded(Sending sending) {
-		List<Map.Entry<String, String>> headers = new ArrayList<>(passed(sending.exchange.request().headers()));
+	private List<Map.Entry<String, String>> forwarded(PendingCall call) {
+		List<Map.Entry<String, String>> headers = new ArrayList<>(passed(call.exchange.request().headers()));
 		Map<String, String> trace = new HashMap<>();
-		this.context.tracing().inject(sending.record.span(), trace);
+		this.context.tracing().inject(call.record.span(), trace);
 		trace.forEach((name, value) -> headers.add(Map.entry(name, value)));
-		headers.add(Map.entry(ErrorReplies.REQUEST_ID, sending.record.requestId()));
+		headers.add(Map.entry(ErrorReplies.REQUEST_ID, call.record.requestId()));
 		return headers;
 	}
 
-	private Outcome finish(Sending sending, Sent sent) {
-		return switch (sent) {
-			case Sent.Answered answered -> {
-				sending.exchange.reply(new Reply(answered.response().status(), passed(answered.response().headers()),
+	private Outcome finish(PendingCall call, CallOutcome outcome) {
+		return switch (outcome) {
+			case CallOutcome.Answered answered -> {
+				call.exchange.reply(new Reply(answered.response().status(), passed(answered.response().headers()),
 						answered.response().body())
 					.with(ErrorReplies.OUTCOME, "answered")
-					.with(ErrorReplies.REQUEST_ID, sending.record.requestId()));
+					.with(ErrorReplies.REQUEST_ID, call.record.requestId()));
 				yield new Outcome.Answered();
 			}
-			case Sent.NotSent notSent -> notRun(sending.exchange, sending.record, notSent.refusal());
-			case Sent.Lost lost -> unknown(sending, Refusal.permanent(Code.UPSTREAM_FAILED,
+			case CallOutcome.NotSent notSent -> notRun(call.exchange, call.record, notSent.refusal());
+			case CallOutcome.Lost lost -> unknown(call, Refusal.permanent(Code.UPSTREAM_FAILED,
 					"The call was written and " + lost.reason() + "; whether it ran is not known."));
 		};
 	}
 
-	private static Refusal refusal(Sending sending, Choice choice) {
+	private static Refusal refusal(PendingCall call, Choice choice) {
 		return (choice instanceof Choice.NonePermitted)
 				? Refusal.permanent(Code.PLACE_NOT_PERMITTED,
-						"No place permitted for team '" + sending.passed.team().name() + "' has '"
-								+ sending.service.name() + "'.")
+						"No place permitted for team '" + call.passed.team().name() + "' has '" + call.service.name()
+								+ "'.")
 				: Refusal.temporary(Code.NO_UPSTREAM,
-						"No permitted upstream of '" + sending.service.name() + "' is alive.", RETRY_AFTER_S);
+						"No permitted upstream of '" + call.service.name() + "' is alive.", RETRY_AFTER_S);
 	}
 
 	private static List<Map.Entry<String, String>> passed(List<Map.Entry<String, String>> headers) {
 		return headers.stream()
-			.filter((header) -> !NOT_PASSED.contains(header.getKey().toLowerCase(Locale.ROOT)))
+			.filter((header) -> !NOT_FORWARDED.contains(header.getKey().toLowerCase(Locale.ROOT)))
 			.toList();
 	}
 
@@ -260,28 +265,28 @@
 		return outcome;
 	}
 
-	private static Outcome unknown(Sending sending, Refusal refusal) {
+	private static Outcome unknown(PendingCall call, Refusal refusal) {
 		Outcome outcome = new Outcome.Unknown(refusal);
-		sending.exchange.reply(ErrorReplies.refusal(outcome, refusal, sending.record.requestId()));
+		call.exchange.reply(ErrorReplies.refusal(outcome, refusal, call.record.requestId()));
 		return outcome;
 	}
 
-	private record Sending(Exchange exchange, RequestRecord record, Gate.Verdict.Passed passed, Service.Plain service,
-			String target) {
+	private record PendingCall(Exchange exchange, RequestRecord record, Gate.Verdict.Passed passed,
+			Service.Plain service, String target) {
 	}
 
 	/**
-	 * What became of a call.
+	 * The outcome of a call.
 	 */
-	private sealed interface Sent {
+	private sealed interface CallOutcome {
 
-		record Answered(CallResult.Response response) implements Sent {
+		record Answered(CallResult.Response response) implements CallOutcome {
 		}
 
-		record NotSent(Refusal refusal) implements Sent {
+		record NotSent(Refusal refusal) implements CallOutcome {
 		}
 
-		record Lost(String reason) implements Sent {
+		record Lost(String reason) implements CallOutcome {
 		}
 
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/UpstreamPoller.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/UpstreamPoller.java
@@ -19,12 +19,12 @@
 import io.whinjunction.platform.ObjectStore.Instances;
 
 /**
- * Keeps the table of upstreams: the instance list says who exists, engines say what they
- * hold.
+ * Updates the table of upstreams from the instance list of the platform and the reports
+ * of engines about their layers.
  * <p>
- * Invariant: while the platform is down the last list stands, and engines are still
- * asked; one that does not answer keeps its last report, since only a step proves it
- * dead. Confined to one thread.
+ * Invariant: while the platform is unavailable the last list stays in use, and engines
+ * are still queried. An engine that does not respond keeps its last report, since only a
+ * failed step proves that it is dead. Confined to one thread.
  */
 final class UpstreamPoller {
 
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Looks once.
+	 * Polls once.
 	 * @return whether the platform answered
 	 */
 	boolean step() {
@@ -56,7 +56,7 @@
 		if (listed instanceof Instances.Listed list) {
 			this.instances = list.instances();
 		}
-		askEngines();
+		queryEngines();
 		List<Upstream> upstreams = new ArrayList<>();
 		for (Instance instance : this.instances) {
 			upstreams.add(upstream(instance));
@@ -65,7 +65,7 @@
 		return listed instanceof Instances.Listed;
 	}
 
-	private void askEngines() {
+	private void queryEngines() {
 		Configuration current = this.configuration.configuration();
 		this.reports.keySet().retainAll(this.instances.stream().map(Instance::id).toList());
 		try (ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/package-info.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One entry: callers' requests in, answers out.
+ * The entry, which accepts the requests of callers and routes them to upstreams.
  */
 package io.whinjunction.entry;
