--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationWatcherTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ConfigurationWatcherTests.java
@@ -21,38 +21,39 @@
  */
 class ConfigurationWatcherTests {
 
-	private static final long BOUND_MS = 1000;
+	private static final long MAX_AGE_MS = 1000;
 
 	private final FakeObjectStore platform = new FakeObjectStore();
 
-	private final List<String> asked = new ArrayList<>();
+	private final List<String> calls = new ArrayList<>();
 
-	private final Freshness freshness = new Freshness(BOUND_MS);
+	private final Freshness freshness = new Freshness(MAX_AGE_MS);
 
 	private final ConfigurationWatcher watch = new ConfigurationWatcher(recording(), new ConfigurationHolder(),
-			this.freshness, new Clock(), 1);
+			this.freshness, new TestTicker(), 1);
 
 	private long nowMs;
 
-	// Drafts break off on an entry that stood still: its proof ran out, and the question
-	// for the next one waits for a change, which nobody makes, before it is answered. An
-	// entry without a proof has to ask for it outright.
+	// Guards against drafts that break off after a suspension of the entry: its freshness
+	// proof has expired, and a watch returns the next one only when the manifest changes
+	// or the watch times out. An entry without a proof has to read the manifest instead.
 	@Test
-	void anEntryWhoseProofRanOutAsksForOneAtOnce() {
+	void anEntryWhoseProofExpiredReadsTheManifestAtOnce() {
 		accept();
 		this.watch.step();
 		this.nowMs = 5000;
-		this.asked.clear();
+		this.calls.clear();
 		assertThat(this.watch.step()).isTrue();
-		assertThat(this.asked).containsExactly("read");
+		assertThat(this.calls).containsExactly("read");
 		assertThat(this.freshness.mayServe(this.nowMs)).isTrue();
 		this.watch.step();
-		assertThat(this.asked).containsExactly("read", "watch");
+		assertThat(this.calls).containsExactly("read", "watch");
 	}
 
-	// The platform answers nothing. The loop pauses only after a step that failed.
+	// The platform does not respond. The step must report a failure, since the loop
+	// delays its next step only then.
 	@Test
-	void aProofThatIsNotHadIsAFailedStep() {
+	void aStepThatGetsNoProofFails() {
 		accept();
 		this.watch.step();
 		this.nowMs = 5000;
@@ -61,10 +62,10 @@
 		assertThat(this.freshness.mayServe(this.nowMs)).isFalse();
 	}
 
-	// The platform lost the manifest. That proves nothing, and must not be asked without
-	// a pause.
+	// The platform has lost the manifest. This proves nothing, and must not be queried in
+	// a busy loop.
 	@Test
-	void aLostManifestIsNoProof() {
+	void aMissingManifestIsNoProof() {
 		accept();
 		this.watch.step();
 		this.nowMs = 5000;
@@ -75,9 +76,9 @@
 	}
 
 	@Test
-	void anEntryWithoutAnyManifestWaitsForTheFirst() {
+	void anEntryWithoutAnyManifestWatchesForTheFirst() {
 		this.watch.step();
-		assertThat(this.asked).containsExactly("watch");
+		assertThat(this.calls).containsExactly("watch");
 	}
 
 	private void accept() {
@@ -87,12 +88,12 @@
 	private ObjectStore recording() {
 		return (ObjectStore) Proxy.newProxyInstance(ObjectStore.class.getClassLoader(),
 				new Class<?>[] { ObjectStore.class }, (proxy, method, arguments) -> {
-					this.asked.add(method.getName());
+					this.calls.add(method.getName());
 					return method.invoke(this.platform, arguments);
 				});
 	}
 
-	private final class Clock implements Ticker {
+	private final class TestTicker implements Ticker {
 
 		@Override
 		public long nowMs() {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/EntrySettingsTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/EntrySettingsTests.java
@@ -21,21 +21,21 @@
 	private Path folder;
 
 	@Test
-	void theExampleIsInOrderAndItsCommentsShowTheDefaults() throws IOException {
+	void theExampleIsValidAndItsCommentsShowTheDefaults() throws IOException {
 		Path example = Path.of("../examples/entry.toml");
-		EntrySettings plain = ((Checked.Valid) EntrySettings.read(example)).settings();
-		String shown = Files.readString(example)
+		EntrySettings defaults = ((Checked.Valid) EntrySettings.read(example)).settings();
+		String uncommented = Files.readString(example)
 			.replaceAll("(?m)^# ([a-z-]+ = \\S+)$", "$1")
 			.replaceAll("(?s)# \\[tls].*", "")
 			.replaceAll("(?m)^(certificate|key|authority) = .*$", "");
-		EntrySettings spelt = ((Checked.Valid) EntrySettings.read(write(shown))).settings();
-		assertThat(spelt).isEqualTo(plain);
-		assertThat(plain.limits().streams()).isEqualTo(256);
-		assertThat(plain.peerAddress()).isEqualTo("127.0.0.1:8082");
+		EntrySettings explicit = ((Checked.Valid) EntrySettings.read(write(uncommented))).settings();
+		assertThat(explicit).isEqualTo(defaults);
+		assertThat(defaults.limits().streams()).isEqualTo(256);
+		assertThat(defaults.peerAddress()).isEqualTo("127.0.0.1:8082");
 	}
 
 	@Test
-	void everyFaultIsNamedWithItsKey() throws IOException {
+	void everyProblemIsReportedWithItsKey() throws IOException {
 		Checked checked = EntrySettings.read(write("""
 				id = "e"
 				caller-port = 70000
@@ -45,13 +45,13 @@
 				[timing]
 				drain-ms = "1m"
 				"""));
-		List<String> faults = ((Checked.Invalid) checked).problems().stream().map(Problem::toString).toList();
-		assertThat(faults).hasSize(5)
-			.anyMatch((fault) -> fault.contains("failure-domain: is missing"))
-			.anyMatch((fault) -> fault.contains("platform: is missing"))
-			.anyMatch((fault) -> fault.contains("caller-port: '70000' is not a whole number from 0 to 65535"))
-			.anyMatch((fault) -> fault.contains("platfrom: is not known; did you mean 'platform'?"))
-			.anyMatch((fault) -> fault.contains("timing.drain-ms: '1m'"));
+		List<String> problems = ((Checked.Invalid) checked).problems().stream().map(Problem::toString).toList();
+		assertThat(problems).hasSize(5)
+			.anyMatch((problem) -> problem.contains("failure-domain: is missing"))
+			.anyMatch((problem) -> problem.contains("platform: is missing"))
+			.anyMatch((problem) -> problem.contains("caller-port: '70000' is not a whole number from 0 to 65535"))
+			.anyMatch((problem) -> problem.contains("platfrom: is not known; did you mean 'platform'?"))
+			.anyMatch((problem) -> problem.contains("timing.drain-ms: '1m'"));
 	}
 
 	private Path write(String text) throws IOException {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/GateOrderTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/GateOrderTests.java
@@ -11,7 +11,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A tightened rule that comes into force while {@link Gate} looks.
+ * Tests {@link Gate} when a tightened rule comes into force during a check.
  */
 class GateOrderTests {
 
@@ -21,20 +21,20 @@
 
 	private long nowMs;
 
-	private Runnable whenAsked = () -> {
+	private Runnable onClockRead = () -> {
 	};
 
-	// A step is sent where its data must not be any more. The proof of the old revision
-	// has run out. The gate has looked up the old permission when the next proof comes,
-	// which is one of a tightened revision, and takes that as a proof of the old one.
+	// Guards against a step that is sent where its data may no longer be: the proof of
+	// the old revision has expired; after the gate has read the old permission, a proof
+	// of a tightened revision arrives and is taken as a proof of the old one.
 	@Test
 	void aProofOfATightenedRuleIsNoProofOfTheOldPermission() {
-		Gate gate = new Gate(this.configuration, this.freshness, "poa-a", new Clock());
+		Gate gate = new Gate(this.configuration, this.freshness, "poa-a", new TestTicker());
 		this.configuration.offer(manifest(1, "poa"));
 		this.freshness.confirmed(0);
 		assertThat(gate.placement("agencia")).isNotNull();
 		this.nowMs = 1500;
-		this.whenAsked = () -> {
+		this.onClockRead = () -> {
 			this.configuration.offer(manifest(2, "cxs"));
 			this.freshness.confirmed(this.nowMs);
 		};
@@ -49,11 +49,11 @@
 				""".formatted("a".repeat(64), place)), "n");
 	}
 
-	private final class Clock implements Ticker {
+	private final class TestTicker implements Ticker {
 
 		@Override
 		public long nowMs() {
-			GateOrderTests.this.whenAsked.run();
+			GateOrderTests.this.onClockRead.run();
 			return GateOrderTests.this.nowMs;
 		}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/GateTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/GateTests.java
@@ -28,64 +28,62 @@
 
 	private final ConfigurationHolder configuration = new ConfigurationHolder();
 
-	private final Gate gate = new Gate(this.configuration, this.freshness, "poa-a", new LookingTicker());
+	private final Gate gate = new Gate(this.configuration, this.freshness, "poa-a", new ObservingTicker());
 
 	private long nowMs;
 
-	private long confirmedAgainAtMs = Long.MAX_VALUE;
+	private long nextConfirmationAtMs = Long.MAX_VALUE;
 
-	private Runnable meanwhile = () -> {
+	private Runnable beforeConfirmation = () -> {
 	};
 
-	// An entry without a notice was told to stop and said that it isn't ready; a request
-	// sent after that was taken and answered. Between the two words the stopping thread
-	// waited for no time at all, which on a starved machine lets all other threads run.
+	// Guards against requests accepted by an entry that already reports not ready. With a
+	// notice of zero the stopping thread slept for 0 ms between the two writes, which
+	// lets all other threads run on a starved machine.
 	@Test
-	void aStopWithoutNoticeNeverTakesRequestsWhileItIsNotReady() throws InterruptedException {
+	void aStopWithoutNoticeNeverAcceptsRequestsWhileNotReady() throws InterruptedException {
 		this.freshness.confirmed(0);
 		this.gate.rejectRequestsAfter(0);
-		assertThat(this.seenWhileWaiting).doesNotContain("not ready, takes requests");
+		assertThat(this.seenWhileWaiting).doesNotContain("not ready, accepts requests");
 		assertThat(state()).isEqualTo("not ready, refuses");
 	}
 
 	@Test
-	void aStopWithNoticeIsNotReadyAtOnceAndTakesRequestsUntilTheNoticeIsOver() throws InterruptedException {
+	void aStopWithNoticeIsNotReadyAtOnceAndAcceptsRequestsUntilTheNoticeIsOver() throws InterruptedException {
 		this.freshness.confirmed(0);
-		assertThat(state()).isEqualTo("ready, takes requests");
+		assertThat(state()).isEqualTo("ready, accepts requests");
 		this.gate.rejectRequestsAfter(500);
-		assertThat(this.seenWhileWaiting).containsExactly("not ready, takes requests");
+		assertThat(this.seenWhileWaiting).containsExactly("not ready, accepts requests");
 		assertThat(state()).isEqualTo("not ready, refuses");
 	}
 
-	// A caller's draft breaks off in the middle. Its entry stood still for so long that
-	// its proof of the configuration ran out; when it runs again it gives up the draft,
-	// and has a new proof a few milliseconds later. No step may be sent meanwhile, but
-	// the
-	// draft can wait.
+	// Guards against drafts that break off needlessly: an entry was suspended until its
+	// freshness proof expired, abandoned the draft when it resumed, and had a new proof a
+	// few milliseconds later. No step may be sent meanwhile, but the draft can wait.
 	@Test
-	void aDraftThatHasBegunWaitsForTheNextProof() throws InterruptedException {
+	void aStartedDraftWaitsForTheNextProof() throws InterruptedException {
 		this.configuration.offer(manifest(1, "poa"));
 		this.freshness.confirmed(0);
 		this.nowMs = 1500;
-		this.confirmedAgainAtMs = 1700;
+		this.nextConfirmationAtMs = 1700;
 		assertThat(this.gate.awaitPlacement("agencia", () -> false)).isNotNull();
 		assertThat(this.nowMs).isBetween(1700L, 1800L);
 	}
 
-	// While the draft waits the rule is tightened, and the next proof is one of the new
-	// revision: the old permission must not come back with it.
+	// The rule is tightened while the draft waits, and the next proof is of the new
+	// revision: it must not restore the old permission.
 	@Test
-	void aRuleThatWasTightenedMeanwhileIsInForceAfterTheWait() throws InterruptedException {
+	void aRuleTightenedDuringTheWaitAppliesAfterIt() throws InterruptedException {
 		this.configuration.offer(manifest(1, "poa"));
 		this.freshness.confirmed(0);
 		this.nowMs = 1500;
-		this.confirmedAgainAtMs = 1700;
-		this.meanwhile = () -> this.configuration.offer(manifest(2, "cxs"));
+		this.nextConfirmationAtMs = 1700;
+		this.beforeConfirmation = () -> this.configuration.offer(manifest(2, "cxs"));
 		assertThat(this.gate.awaitPlacement("agencia", () -> false)).isNull();
 		assertThat(this.configuration.configuration().revision()).isEqualTo(2);
 	}
 
-	// An entry that is cut off must not hold on to its drafts for long.
+	// An entry that is cut off must not hold its drafts for long.
 	@Test
 	void aDraftWaitsForAProofNoLongerThanItsLimit() throws InterruptedException {
 		this.configuration.offer(manifest(1, "poa"));
@@ -95,8 +93,8 @@
 		assertThat(this.nowMs).isBetween(1500 + Gate.MAX_PROOF_WAIT_MS, 1600 + Gate.MAX_PROOF_WAIT_MS);
 	}
 
-	// A draft waits for a proof, and its caller leaves: it must not hold its place any
-	// longer.
+	// The caller leaves while its draft waits for a proof: the draft must not keep its
+	// slot any longer.
 	@Test
 	void aWaitForAProofEndsWithTheDraft() {
 		this.configuration.offer(manifest(1, "poa"));
@@ -106,9 +104,9 @@
 		assertThat(this.nowMs).isEqualTo(1600);
 	}
 
-	// Where the configuration is known and forbids it there is nothing to wait for.
+	// Where a confirmed configuration forbids the draft, there is nothing to wait for.
 	@Test
-	void aDraftOfATeamThatMayNotBeHereDoesNotWait() throws InterruptedException {
+	void aDraftOfATeamNotPermittedHereDoesNotWait() throws InterruptedException {
 		this.configuration.offer(manifest(1, "cxs"));
 		this.freshness.confirmed(0);
 		assertThat(this.gate.awaitPlacement("agencia", () -> false)).isNull();
@@ -125,15 +123,15 @@
 	}
 
 	private String state() {
-		// A key that nobody has is looked at only by a gate that takes requests.
+		// Only a gate that accepts requests checks the key, which is unknown here.
 		Gate.Verdict verdict = this.gate.check(HEAD);
 		assertThat(verdict).isInstanceOf(Gate.Verdict.Refused.class);
 		boolean refuses = ((Gate.Verdict.Refused) verdict).refusal().code() == Code.STOPPING;
-		return (this.gate.ready() ? "ready" : "not ready") + (refuses ? ", refuses" : ", takes requests");
+		return (this.gate.ready() ? "ready" : "not ready") + (refuses ? ", refuses" : ", accepts requests");
 	}
 
-	/** Looks at the gate while its owner waits, as a balancer and a caller would. */
-	private final class LookingTicker implements Ticker {
+	/** Records the state of the gate at each sleep, as a balancer and a caller see it. */
+	private final class ObservingTicker implements Ticker {
 
 		@Override
 		public long nowMs() {
@@ -144,8 +142,8 @@
 		public void sleepMs(long durationMs) {
 			GateTests.this.seenWhileWaiting.add(state());
 			GateTests.this.nowMs += durationMs;
-			if (GateTests.this.nowMs >= GateTests.this.confirmedAgainAtMs) {
-				GateTests.this.meanwhile.run();
+			if (GateTests.this.nowMs >= GateTests.this.nextConfirmationAtMs) {
+				GateTests.this.beforeConfirmation.run();
 				GateTests.this.freshness.confirmed(GateTests.this.nowMs);
 			}
 		}
