--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2AndTlsTests.java
@@ -30,7 +30,7 @@
 import static org.assertj.core.api.Assertions.assertThatExceptionOfType;
 
 /**
- * HTTP/2 by prior knowledge and by ALPN, and TLS from files that change.
+ * Tests HTTP/2 by prior knowledge and by ALPN, and TLS with files that change.
  */
 class Http2AndTlsTests {
 
@@ -39,25 +39,25 @@
 	@TempDir
 	private Path folder;
 
-	// Two streams share one connection. One is reset in the middle: the other gets its
-	// whole answer, and the reset one's work is cancelled upstream.
+	// Two streams share one connection and one is reset in the middle. The other gets its
+	// complete response, and the work of the reset one is cancelled upstream.
 	@Test
-	void aResetHttp2StreamLeavesItsNeighbourWhole() throws InterruptedException {
+	void aResetHttp2StreamDoesNotAffectOthersOnItsConnection() throws InterruptedException {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure();
 				Http2TestClient client = Http2TestClient.connect(system.entry(0).callerPort())) {
 			Http2TestClient.Stream reset = client.draft("key-1", "a", 2000);
-			Http2TestClient.Stream whole = client.draft("key-2", "b", 30);
+			Http2TestClient.Stream other = client.draft("key-2", "b", 30);
 			LocalSystem.await(() -> reset.body().contains("data: "));
 			reset.reset();
-			assertThat(whole.await()).endsWith("data: [DONE]\n\n");
-			assertThat(HttpTestClient.tokens(whole.body()))
+			assertThat(other.await()).endsWith("data: [DONE]\n\n");
+			assertThat(HttpTestClient.tokens(other.body()))
 				.isEqualTo(ReferenceModel.draft("b", LocalSystem.LAYERS, 30));
 			LocalSystem.await(() -> system.engines().values().stream().allMatch((engine) -> engine.openStreams() == 0));
 		}
 	}
 
 	@Test
-	void withTlsHttp2IsAgreedOnByAlpnAndHttp1IsTakenToo() throws Exception {
+	void withTlsHttp2IsNegotiatedByAlpnAndHttp1IsAccepted() throws Exception {
 		try (LocalSystem system = new LocalSystem().engines(0).tls(tls()).entries(2)) {
 			system.accept();
 			LocalSystem.await(() -> HttpTestClient.get(system.entry(1).operatorPort(), "/readyz").status() == 200);
@@ -69,14 +69,14 @@
 		}
 	}
 
-	// A peer without a certificate of our authority must learn nothing and change
-	// nothing.
+	// A peer without a certificate of the configured authority must neither read nor
+	// change anything.
 	@Test
-	void aStrangerIsNotTakenForAPeer() throws Exception {
+	void aPeerWithAnUntrustedCertificateIsRejected() throws Exception {
 		try (LocalSystem system = new LocalSystem().tls(tls()).entries(1)) {
-			TlsFiles stranger = new TlsFiles(FILES.resolve("stranger.pem").toFile(),
+			TlsFiles untrusted = new TlsFiles(FILES.resolve("stranger.pem").toFile(),
 					FILES.resolve("stranger-key.pem").toFile(), FILES.resolve("ca.pem").toFile(), Ticker.system());
-			PeerTransport transport = new PeerTransport(stranger::forPeers, 1000);
+			PeerTransport transport = new PeerTransport(untrusted::forPeers, 1000);
 			assertThatExceptionOfType(TException.class)
 				.isThrownBy(() -> transport.call(system.peerAddress(0), Peer.Client::members));
 			TlsFiles peer = new TlsFiles(FILES.resolve("other-certificate.pem").toFile(),
@@ -87,7 +87,7 @@
 	}
 
 	@Test
-	void changedFilesAreReadAgainAndUnreadableOnesAreNot() throws Exception {
+	void changedFilesAreReloadedAndUnreadableOnesAreIgnored() throws Exception {
 		Path certificate = copy("certificate.pem", "certificate.pem");
 		Path key = copy("key.pem", "key.pem");
 		long[] nowMs = { 0 };
@@ -108,19 +108,19 @@
 		Object first = files.forCallers();
 		copy("other-certificate.pem", "certificate.pem");
 		copy("other-key.pem", "key.pem");
-		touch(certificate, 10);
+		advanceModificationTime(certificate, 10);
 		ticker.sleepMs(3000);
 		Object second = files.forCallers();
 		assertThat(second).isNotSameAs(first);
 		Files.writeString(certificate, "broken");
-		touch(certificate, 20);
+		advanceModificationTime(certificate, 20);
 		ticker.sleepMs(3000);
 		assertThat(files.forCallers()).isSameAs(second);
 	}
 
-	private static void touch(Path file, int plusS) throws IOException {
+	private static void advanceModificationTime(Path file, int seconds) throws IOException {
 		Files.setLastModifiedTime(file,
-				FileTime.fromMillis(Files.getLastModifiedTime(file).toMillis() + plusS * 1000L));
+				FileTime.fromMillis(Files.getLastModifiedTime(file).toMillis() + seconds * 1000L));
 	}
 
 	private Path copy(String from, String to) throws IOException {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2RefusalTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2RefusalTests.java
@@ -28,15 +28,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * How a refusal ends an HTTP/2 stream whose body still comes.
+ * Tests how a refusal ends an HTTP/2 stream whose request body still arrives.
  */
 class Http2RefusalTests {
 
-	// A caller still sends its body when the entry refuses. The refusal is whole, and the
-	// stream is then reset as cancelled, which a client takes as the answer's failure. A
-	// server that wants no more of a body says so with NO_ERROR (RFC 9113, 8.1).
+	// Guards against a refusal that looks like a failure: the entry refused a request
+	// whose body was still being sent, and reset the stream as cancelled after the
+	// complete response, which clients take as a failure of the response. A server that
+	// needs no more of a body resets with NO_ERROR (RFC 9113, 8.1).
 	@Test
-	void aStreamWhoseBodyIsNotWantedIsResetWithoutAnError() throws Exception {
+	void aStreamRefusedBeforeItsBodyEndsIsResetWithNoError() throws Exception {
 		CompletableFuture<Long> reset = new CompletableFuture<>();
 		EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(500, 1000).entries(1).configure()) {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2TestClient.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2TestClient.java
@@ -30,7 +30,7 @@
 import io.netty.handler.codec.http2.Http2StreamFrameToHttpObjectCodec;
 
 /**
- * A caller that speaks HTTP/2 by prior knowledge, several streams on one connection.
+ * HTTP/2 client for tests, by prior knowledge, with several streams on one connection.
  */
 final class Http2TestClient implements AutoCloseable {
 
@@ -76,8 +76,8 @@
 	}
 
 	/**
-	 * With what the server asked for no more streams on this connection.
-	 * @return completes when it asks
+	 * Returns a future for the error code of the GOAWAY frame of the server.
+	 * @return completes when the frame arrives
 	 */
 	CompletableFuture<Http2Error> goAway() {
 		return this.goAway;
@@ -113,7 +113,7 @@
 	}
 
 	/**
-	 * One stream's answer as it comes.
+	 * The response on one stream, as received so far.
 	 */
 	static final class Stream extends SimpleChannelInboundHandler<HttpObject> {
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpTestClient.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpTestClient.java
@@ -20,7 +20,8 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * A caller, for tests: the JDK's client, or raw bytes where the bytes matter.
+ * HTTP client for tests. Uses the client of the JDK, or a plain socket where the exact
+ * bytes matter.
  */
 final class HttpTestClient {
 
@@ -55,10 +56,10 @@
 	}
 
 	/**
-	 * Sends bytes and reads all that comes until the other side closes.
+	 * Sends bytes and reads until the server closes the connection.
 	 * @param port the port
 	 * @param text the bytes, one per character
-	 * @return what came, one character per byte
+	 * @return the received bytes, one character per byte
 	 */
 	static String raw(int port, String text) {
 		try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -104,11 +105,11 @@
 	}
 
 	/**
-	 * An answer; status 0 where the connection broke.
+	 * A response; its status is 0 if the connection broke.
 	 *
 	 * @param status the status
 	 * @param headers the headers
-	 * @param body the body, or why it is missing
+	 * @param body the body, or the reason why it is missing
 	 */
 	record Response(int status, Map<String, List<String>> headers, String body) {
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/LocalSystem.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/LocalSystem.java
@@ -35,8 +35,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A whole system in one process, on loopback and real connections: a platform, engines
- * for four layer ranges in three failure domains, a booking service and some entries.
+ * A complete system in one process, with real connections over loopback: a platform,
+ * engines for four layer ranges in three failure domains, a booking service and entries.
  */
 final class LocalSystem implements AutoCloseable {
 
@@ -105,9 +105,9 @@
 	}
 
 	/**
-	 * Holds the engines' steps from now on. A step that is held for longer than its limit
-	 * has failed.
-	 * @return releases them
+	 * Holds all new steps at the engines. A step that is held for longer than its timeout
+	 * fails.
+	 * @return releases the held steps
 	 */
 	Runnable holdSteps() {
 		CountDownLatch held = new CountDownLatch(1);
@@ -147,9 +147,9 @@
 	}
 
 	/**
-	 * Starts an entry and does not wait for it.
-	 * @param index which; its failure domain goes with it
-	 * @param platformAddress where it looks for the platform
+	 * Starts an entry and does not wait until it is ready.
+	 * @param index the index of the entry, which also selects its failure domain
+	 * @param platformAddress the address of the platform
 	 * @return the entry
 	 */
 	Entry startEntry(int index, String platformAddress) {
@@ -171,8 +171,8 @@
 	}
 
 	/**
-	 * Accepts the usual configuration, with some lines replaced, and waits until every
-	 * entry serves by it.
+	 * Accepts the default configuration, with some lines replaced, and waits until every
+	 * entry serves with it.
 	 * @param replacements from, to, from, to...
 	 * @return this system
 	 */
@@ -239,7 +239,7 @@
 	static void await(BooleanSupplier condition) {
 		long endMs = System.nanoTime() / 1_000_000 + AWAIT_MS;
 		while (!condition.getAsBoolean()) {
-			assertThat(System.nanoTime() / 1_000_000).as("awaited in vain").isLessThan(endMs);
+			assertThat(System.nanoTime() / 1_000_000).as("condition not met within %d ms", AWAIT_MS).isLessThan(endMs);
 			try {
 				Thread.sleep(20);
 			}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/OperatorPortTests.java
@@ -7,7 +7,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What operators see on an entry's port.
+ * Tests the operator port of an entry.
  */
 class OperatorPortTests {
 
@@ -24,7 +24,7 @@
 	}
 
 	@Test
-	void explainTellsWhereADraftRanAndNothingOfItsText() {
+	void explainShowsWhereADraftRanAndNoneOfItsText() {
 		HttpTestClient.Response draft = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "a secret prompt",
 				3, false);
 		String explained = get("/explain/" + draft.header("whin-request-id").orElseThrow()).body();
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void explainTellsWhyARequestWasRefused() {
+	void explainShowsWhyARequestWasRefused() {
 		HttpTestClient.Response refused = HttpTestClient.draft(system.entry(0).callerPort(), "nobody", "x", 1, false);
 		assertThat(get("/explain/" + refused.header("whin-request-id").orElseThrow()).body())
 			.contains("\"code\":\"unknown-key\"")
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/RequestRecordTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/RequestRecordTests.java
@@ -9,10 +9,11 @@
  */
 class RequestRecordTests {
 
-	// A caller's prompt stands in the log. An engine refuses a step and quotes its input;
-	// the request's line names the stages that failed, and held the engine's text.
+	// Guards against a caller's prompt in the log: an engine refused a step and quoted
+	// its input, and the log line of the request contained the text of the engine with
+	// the failed stages.
 	@Test
-	void theLogLineHoldsTheKindOfAnEndAndNoTextOfAnEngine() {
+	void theLogLineHasTheKindOfAnEndAndNoTextOfAnEngine() {
 		assertThat(RequestRecord.endKind("refused: cannot read \"my prompt: hello\"")).isEqualTo("refused");
 		assertThat(RequestRecord.endKind("not sent: java.net.ConnectException: refused")).isEqualTo("not sent");
 		assertThat(RequestRecord.endKind("status 500")).isEqualTo("status 500");
