--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/GoldenSessionTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/GoldenSessionTests.java
@@ -20,9 +20,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Whole sessions, compared byte for byte with golden files after the request id is
- * masked, and many sessions at once. To write the files anew, run with
- * {@code -Dgolden.write=true} and read the difference.
+ * Compares complete sessions byte for byte with golden files, with the request ID masked,
+ * and runs many sessions at once. To write the files again, run with
+ * {@code -Dgolden.write=true} and review the difference.
  */
 class GoldenSessionTests {
 
@@ -54,7 +54,7 @@
 	}
 
 	@Test
-	void aDraftIsAnsweredWhole() throws IOException {
+	void aDraftIsAnsweredInOneResponse() throws IOException {
 		compare("draft-whole", post("/v1/completions", "key-1", HttpTestClient.draftBody("hello", 4, false)));
 	}
 
@@ -66,7 +66,7 @@
 	}
 
 	@Test
-	void aDraftIsRefusedForItsPlace() throws IOException {
+	void aDraftIsRefusedOutsideItsPermittedPlaces() throws IOException {
 		compare("draft-refused-for-its-place",
 				post("/v1/completions", "key-0", HttpTestClient.draftBody("hello", 4, true)));
 	}
@@ -85,10 +85,10 @@
 				+ "authorization: Bearer key-1\r\n\r\n");
 	}
 
-	// The booking runs and its answer comes after the call's limit: the caller is told
-	// that it may have run, and a repeat is not sent again.
+	// The booking runs, but its response arrives after the timeout of the call: the
+	// caller learns that it may have run, and a repetition is not sent again.
 	@Test
-	void anAnswerComesLate() throws IOException {
+	void aResponseArrivesAfterTheTimeout() throws IOException {
 		system.booking().nextFault(BookingServer.Fault.SLOW_AFTER_RUN);
 		String booking = post("/services/booking-api/bookings", "key-1", "late-slot", "idempotency-key: late\r\n");
 		compare("late-answer", booking);
@@ -96,27 +96,27 @@
 		assertThat(system.booking().runs("late-slot")).isEqualTo(1);
 	}
 
-	// Two hundred callers of ten teams, some with the same prompt, on three entries at
-	// once: an answer that reached another caller would carry other tokens.
+	// 200 callers of ten teams, some with the same prompt, use three entries at once. A
+	// response that reached another caller would have different tokens.
 	@Test
 	void twoHundredStreamsThroughThreeEntriesEachGetExactlyTheirOwnTokens()
 			throws InterruptedException, ExecutionException {
-		List<Future<String>> faults = new ArrayList<>();
+		List<Future<String>> mismatches = new ArrayList<>();
 		try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
 			for (int i = 0; i < 200; i++) {
 				int index = i;
-				faults.add(callers.submit(() -> fault(index)));
+				mismatches.add(callers.submit(() -> mismatch(index)));
 			}
 		}
-		for (Future<String> fault : faults) {
-			assertThat(fault.get()).isEmpty();
+		for (Future<String> mismatch : mismatches) {
+			assertThat(mismatch.get()).isEmpty();
 		}
 	}
 
-	private static String fault(int index) {
+	private static String mismatch(int index) {
 		String prompt = "prompt " + index % 150;
 		int team = index % 10;
-		// Team 0's data may be in the third entry's place only.
+		// The data of team 0 may be only in the place of the third entry.
 		int entry = (team == 0) ? 2 : index % 3;
 		HttpTestClient.Response answer = HttpTestClient.draft(system.entry(entry).callerPort(), "key-" + team, prompt,
 				10, true);
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/RefusalDuringStopTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/RefusalDuringStopTests.java
@@ -11,15 +11,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Whether the last refusals of an entry that stops can be read.
+ * Tests that callers of a stopping entry receive its last refusals.
  */
 class RefusalDuringStopTests {
 
-	// A caller still sends its body when the notice ends; nothing else is in progress.
-	// The refusal is written, and the entry closes everything at once: the rest of the
-	// body resets the connection, and the caller sees that in place of the refusal.
+	// Guards against a lost refusal: a caller still sends its body when the notice ends,
+	// and nothing else is in progress. If the entry closes everything right after it
+	// wrote the refusal, the rest of the body resets the connection and the caller sees
+	// the reset instead.
 	@Test
-	void aRefusalIsReadAlsoWhereNothingElseKeepsTheEntryUp() throws Exception {
+	void aRefusalIsDeliveredWhenNothingElseIsInProgress() throws Exception {
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(500, 5000).entries(1).configure();
 				Socket socket = new Socket(InetAddress.getLoopbackAddress(), system.entry(0).callerPort())) {
 			socket.setSoTimeout(20_000);
@@ -36,11 +37,12 @@
 		}
 	}
 
-	// A caller asks whether it may send a body ("expect: 100-continue"), is refused since
-	// the body is too large, and keeps its connection. The entry stops, and writes a
-	// second answer to the same request; a client takes it as that of its next one.
+	// Guards against a second response to one request: a request with "expect:
+	// 100-continue" is refused since its body is too large, and its connection stays
+	// open. When the entry stopped it wrote another response, which a client takes as the
+	// one to its next request.
 	@Test
-	void aRequestThatWasRefusedBeforeItsBodyIsNotRefusedAgain() throws Exception {
+	void aRequestRefusedBeforeItsBodyIsNotRefusedAgain() throws Exception {
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(500, 1000).entries(1).configure();
 				Socket socket = new Socket(InetAddress.getLoopbackAddress(), system.entry(0).callerPort())) {
 			socket.setSoTimeout(20_000);
@@ -55,10 +57,10 @@
 		}
 	}
 
-	// A draft streams, and its caller sends a next request behind it that asks whether it
-	// may send its body. What it is told must not be written into the running answer.
+	// A draft streams, and its caller pipelines a request with "expect: 100-continue".
+	// The response to the expectation must not be written into the running one.
 	@Test
-	void aRunningAnswerIsNotSpoiledByAnExpectationBehindIt() throws Exception {
+	void anExpectationOfAPipelinedRequestDoesNotCorruptTheRunningResponse() throws Exception {
 		try (LocalSystem system = new LocalSystem().engines(5).entries(1).configure();
 				Socket socket = new Socket(InetAddress.getLoopbackAddress(), system.entry(0).callerPort())) {
 			socket.setSoTimeout(20_000);
