--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -200,7 +200,7 @@
 		try (LocalSystem system = new LocalSystem().ticker(ticker).stopping(60_000, 1000).entries(1)) {
 			ticker.leap(20_000);
 			LocalSystem.await(ticker::noted);
-			ticker.leapOfSignal(50_000);
+			ticker.suspendBeforeSignal(50_000);
 			system.entry(0).stop();
 			assertThat(ticker.sleptMs()).isPositive().isLessThanOrEqualTo(10_000);
 		}
@@ -218,7 +218,7 @@
 			.configure(); HttpServer large = serverOfLargeAnswers(); Socket socket = new Socket()) {
 			beginLargeAnswer(system, large, socket);
 			CompletableFuture<Integer> cutOff = later(() -> {
-				ticker.leapOfSignal(75_000);
+				ticker.suspendBeforeSignal(75_000);
 				return stop(system.entry(0));
 			});
 			assertThat(cutOff.get(30, TimeUnit.SECONDS)).isOne();
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
@@ -38,7 +38,7 @@
 	 * The calling thread stops the entry now, by a signal that came in a suspension.
 	 * @param durationMs how long the suspension was
 	 */
-	synchronized void leapOfSignal(long durationMs) {
+	synchronized void suspendBeforeSignal(long durationMs) {
 		this.stops = Thread.currentThread();
 		this.pendingMs = durationMs;
 	}
