--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -198,7 +198,7 @@
 	void theNoticeOfASignalThatCameInASuspensionIsCountedFromBefore() throws InterruptedException {
 		SuspendableTicker ticker = new SuspendableTicker();
 		try (LocalSystem system = new LocalSystem().ticker(ticker).stopping(60_000, 1000).entries(1)) {
-			ticker.leap(20_000);
+			ticker.suspend(20_000);
 			LocalSystem.await(ticker::noted);
 			ticker.suspendBeforeSignal(50_000);
 			system.entry(0).stop();
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
@@ -29,7 +29,7 @@
 	 * The process is suspended now and goes on.
 	 * @param durationMs how long
 	 */
-	synchronized void leap(long durationMs) {
+	synchronized void suspend(long durationMs) {
 		this.leaptMs += durationMs;
 		this.looks = 0;
 	}
