--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -199,7 +199,7 @@
 		SuspendableTicker ticker = new SuspendableTicker();
 		try (LocalSystem system = new LocalSystem().ticker(ticker).stopping(60_000, 1000).entries(1)) {
 			ticker.suspend(20_000);
-			LocalSystem.await(ticker::noted);
+			LocalSystem.await(ticker::runRecorded);
 			ticker.suspendBeforeSignal(50_000);
 			system.entry(0).stop();
 			assertThat(ticker.sleptMs()).isPositive().isLessThanOrEqualTo(10_000);
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
@@ -55,7 +55,7 @@
 	 * Whether the entry has noted that it runs since the last leap.
 	 * @return {@code true} where the note is written for sure
 	 */
-	synchronized boolean noted() {
+	synchronized boolean runRecorded() {
 		// The thread comes back to the clock only after it has written what it read.
 		return this.looks > 1;
 	}
