--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -21,7 +21,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What callers of an entry see while it stops, on connections that they keep.
+ * Tests what callers with kept connections receive while an entry stops.
  */
 class StoppingEntryTests {
 
@@ -30,25 +30,25 @@
 
 	private static final int LARGE_BYTES = 16 << 20;
 
-	// A caller keeps its connection and sends two bookings on it while the entry still
-	// serves. The first is answered with the word that the connection ends. The second
-	// must not run then: its answer could not reach the caller any more.
+	// A caller pipelines two bookings on its connection while the entry still serves. The
+	// first response announces that the connection closes. The second booking must not
+	// run then, since its response could no longer reach the caller.
 	@Test
-	void anAnswerInTheNoticeEndsItsConnectionAndNothingBehindItRuns() {
+	void aResponseDuringTheNoticeClosesItsConnectionAndNoPipelinedRequestRuns() {
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(3000, 1000).entries(1).configure()) {
 			CompletableFuture<Integer> cutOff = stop(system);
 			String answers = HttpTestClient.raw(system.entry(0).callerPort(), booking("first") + booking("second"));
 			assertThat(answers).startsWith("HTTP/1.1 201").contains("connection: close").contains("first");
-			// Whatever had been begun has ended by then.
+			// All requests that had started have completed by then.
 			assertThat(cutOff.join()).isZero();
 			assertThat(system.booking().runs("second")).isZero();
 		}
 	}
 
-	// The same over HTTP/2: the caller is asked for no more streams on the connection,
-	// and the streams it already has are answered.
+	// The same over HTTP/2: the caller receives a GOAWAY frame, and the streams that it
+	// already has are answered.
 	@Test
-	void anHttp2CallerIsAskedForNoMoreStreams() throws InterruptedException {
+	void anHttp2CallerReceivesGoAway() throws InterruptedException {
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(10_000, 1000).entries(1).configure();
 				Http2TestClient client = Http2TestClient.connect(system.entry(0).callerPort())) {
 			assertThat(client.draft("key-1", "before", 1).await()).endsWith("data: [DONE]\n\n");
@@ -59,12 +59,12 @@
 		}
 	}
 
-	// A draft streams; its caller sends the next request behind it, and the entry now
-	// refuses. The refusal must wait for its turn: written into the stream, it would
-	// spoil the running answer and close its connection. The engines are held meanwhile,
-	// so that the answer can't end too soon.
+	// A draft streams, its caller pipelines the next request, and the entry now refuses.
+	// The refusal must wait for the running response: written into the stream, it would
+	// corrupt that response and close its connection. The steps are held meanwhile so
+	// that the response cannot end too soon.
 	@Test
-	void aRefusalWaitsForTheAnswerBeforeIt() throws IOException {
+	void aRefusalWaitsForTheResponseBeforeIt() throws IOException {
 		try (LocalSystem system = new LocalSystem().engines(5).entries(1).configure();
 				Socket socket = connect(system.entry(0).callerPort())) {
 			send(socket, draft("hello", 40));
@@ -76,7 +76,7 @@
 			release.run();
 			String answers = begin + readAll(socket);
 			int refusal = answers.indexOf("HTTP/1.1 503");
-			assertThat(refusal).as("the place of the refusal in %s", answers).isPositive();
+			assertThat(refusal).as("the position of the refusal in %s", answers).isPositive();
 			assertThat(HttpTestClient.tokens(answers.substring(0, refusal)))
 				.isEqualTo(ReferenceModel.draft("hello", LocalSystem.LAYERS, 40));
 			assertThat(answers.substring(0, refusal)).contains("data: [DONE]");
@@ -84,8 +84,8 @@
 		}
 	}
 
-	// A body still comes when the entry begins to refuse. Its sender is told that the
-	// request did not run; a connection that only closes would leave it to guess.
+	// A request body is still being sent when the entry begins to refuse. Its sender must
+	// learn that the request did not run, which a closed connection would not show.
 	@Test
 	void aRequestThatStillArrivesIsRefusedAndNotDropped() throws IOException {
 		try (LocalSystem system = new LocalSystem().engines(0).stopping(500, 1000).entries(1).configure();
@@ -97,14 +97,14 @@
 		}
 	}
 
-	// The handler is done, but a slow reader has most of the answer still to come. An
-	// entry that goes then cuts off an answer that it has counted as given.
+	// The handler has finished, but most of the response is still to be sent to a slow
+	// reader. An entry that exits then cuts off a response that it has counted as sent.
 	@Test
-	void aStopWaitsUntilAnAnswerHasLeft() throws Exception {
+	void aStopWaitsUntilAResponseIsSent() throws Exception {
 		try (LocalSystem system = new LocalSystem().engines(0).entries(1).configure();
-				HttpServer large = serverOfLargeAnswers();
+				HttpServer large = largeResponseServer();
 				Socket socket = new Socket()) {
-			beginLargeAnswer(system, large, socket);
+			startLargeResponse(system, large, socket);
 			CompletableFuture<Integer> cutOff = stop(system);
 			LocalSystem.await(() -> refuses(system));
 			assertThat(readAll(socket).length()).isGreaterThan(LARGE_BYTES);
@@ -112,15 +112,16 @@
 		}
 	}
 
-	// The entry refuses by the head while the caller still sends its body. A connection
-	// that closes at once is reset by the rest: a client that is still writing sees the
-	// reset in place of the refusal, and cannot tell that nothing ran.
+	// The entry refuses a request by its head while the caller still sends the body. If
+	// the connection is closed at once, the rest of the body causes a reset: a client
+	// that is still writing sees the reset instead of the refusal, and cannot tell that
+	// the request did not run.
 	@Test
 	void aRefusalReachesACallerThatStillSendsItsBody() throws Exception {
 		try (LocalSystem system = new LocalSystem().engines(5).entries(1).configure();
 				Socket socket = connect(system.entry(0).callerPort())) {
 			int port = system.entry(0).callerPort();
-			later(() -> HttpTestClient.raw(port, draft("keeps the entry up", 4000)));
+			async(() -> HttpTestClient.raw(port, draft("keeps the entry up", 4000)));
 			LocalSystem.await(() -> inProgress(system) == 1);
 			stop(system);
 			LocalSystem.await(() -> refuses(system));
@@ -128,7 +129,7 @@
 			send(socket, request.substring(0, 3000));
 			String begin = new String(socket.getInputStream().readNBytes(8), StandardCharsets.ISO_8859_1);
 			for (int from = 3000; from < 9000; from += 1000) {
-				// A reset that answers a piece fails the next one.
+				// If a piece causes a reset, sending the next piece fails.
 				send(socket, request.substring(from, from + 1000));
 				Thread.sleep(20);
 			}
@@ -136,19 +137,20 @@
 		}
 	}
 
-	// One draft runs, longer than the entry may wait; another waits for its turn. At the
-	// limit the first says that its answer is a part, and that of the second nothing ran.
+	// One draft runs for longer than the drain limit; another is queued. At the limit the
+	// response of the first must show that it is incomplete, and that of the second that
+	// it did not run.
 	@Test
-	void atTheDrainLimitEachCallerHearsHowFarItsRequestCame() {
+	void atTheDrainLimitEachCallerReceivesItsOutcome() {
 		try (LocalSystem system = new LocalSystem().engines(5)
 			.limits(ONE_DRAFT)
 			.stopping(0, 1000)
 			.entries(1)
 			.configure()) {
 			int port = system.entry(0).callerPort();
-			CompletableFuture<String> runs = later(() -> HttpTestClient.raw(port, draft("runs", 4000)));
+			CompletableFuture<String> runs = async(() -> HttpTestClient.raw(port, draft("runs", 4000)));
 			LocalSystem.await(() -> inProgress(system) == 1);
-			CompletableFuture<HttpTestClient.Response> waits = later(
+			CompletableFuture<HttpTestClient.Response> waits = async(
 					() -> HttpTestClient.draft(port, "key-1", "waits", 1, true));
 			LocalSystem.await(() -> inProgress(system) == 2);
 			CompletableFuture<Integer> cutOff = stop(system);
@@ -161,11 +163,12 @@
 		}
 	}
 
-	// Drafts take three quarters of a second here. One runs when the entry is told to
-	// stop within a second, and one waits: begun after the first, it would be cut off.
-	// The first is held until the other has its answer; it can't end too soon.
+	// Drafts take 0.75 s here. One runs and one is queued when the entry is ordered to
+	// stop with a drain limit of 1 s: started after the first, the second would be cut
+	// off. The first is held until the second has its response, so that it cannot end too
+	// soon.
 	@Test
-	void whatCannotBeExpectedToEndIsRefusedInPlaceOfBegun() {
+	void aQueuedRequestThatCannotCompleteIsRefused() {
 		try (LocalSystem system = new LocalSystem().engines(5)
 			.limits(ONE_DRAFT)
 			.stopping(0, 1000)
@@ -174,10 +177,10 @@
 			int port = system.entry(0).callerPort();
 			assertThat(HttpTestClient.draft(port, "key-1", "usual", 30, false).status()).isEqualTo(200);
 			Runnable release = system.holdSteps();
-			CompletableFuture<HttpTestClient.Response> runs = later(
+			CompletableFuture<HttpTestClient.Response> runs = async(
 					() -> HttpTestClient.draft(port, "key-1", "runs", 30, true));
 			LocalSystem.await(() -> inProgress(system) == 1);
-			CompletableFuture<HttpTestClient.Response> waits = later(
+			CompletableFuture<HttpTestClient.Response> waits = async(
 					() -> HttpTestClient.draft(port, "key-1", "waits", 30, true));
 			LocalSystem.await(() -> inProgress(system) == 2);
 			stop(system);
@@ -188,14 +191,12 @@
 		}
 	}
 
-	// The signal comes while the process is suspended, 50 s before it goes on. The notice
-	// of 60 s runs since then: counted from the moment of waking, the entry would end 50
-	// s
-	// after whoever waits for it, and be killed with all it serves. The suspension of
-	// some
-	// time before has nothing to do with the signal.
+	// The signal is sent while the process is suspended, 50 s before it resumes. The
+	// notice of 60 s counts from the signal: counted from the resumption, the entry would
+	// exit 50 s later than the supervisor expects, and be killed with all its requests.
+	// An earlier suspension is unrelated to the signal.
 	@Test
-	void theNoticeOfASignalThatCameInASuspensionIsCountedFromBefore() throws InterruptedException {
+	void theNoticeOfASignalSentDuringASuspensionCountsFromBeforeTheSuspension() throws InterruptedException {
 		SuspendableTicker ticker = new SuspendableTicker();
 		try (LocalSystem system = new LocalSystem().ticker(ticker).stopping(60_000, 1000).entries(1)) {
 			ticker.suspend(20_000);
@@ -206,18 +207,19 @@
 		}
 	}
 
-	// The same, and notice and drain limit were over before the process went on, with an
-	// answer still on its way to a slow reader. It is ended now, not a minute later.
+	// The same, but notice and drain limit are over before the process resumes, with a
+	// response still being sent to a slow reader. The response is cut off at once and not
+	// a minute later.
 	@Test
-	void aStopWhoseTimeWasOverBeforeItWasHandledWaitsForNothing() throws Exception {
+	void aStopHandledAfterItsDrainLimitDoesNotWait() throws Exception {
 		SuspendableTicker ticker = new SuspendableTicker();
 		try (LocalSystem system = new LocalSystem().ticker(ticker)
 			.engines(0)
 			.stopping(10_000, 60_000)
 			.entries(1)
-			.configure(); HttpServer large = serverOfLargeAnswers(); Socket socket = new Socket()) {
-			beginLargeAnswer(system, large, socket);
-			CompletableFuture<Integer> cutOff = later(() -> {
+			.configure(); HttpServer large = largeResponseServer(); Socket socket = new Socket()) {
+			startLargeResponse(system, large, socket);
+			CompletableFuture<Integer> cutOff = async(() -> {
 				ticker.suspendBeforeSignal(75_000);
 				return stop(system.entry(0));
 			});
@@ -227,7 +229,7 @@
 	}
 
 	private static CompletableFuture<Integer> stop(LocalSystem system) {
-		CompletableFuture<Integer> cutOff = later(() -> stop(system.entry(0)));
+		CompletableFuture<Integer> cutOff = async(() -> stop(system.entry(0)));
 		LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() != 200);
 		return cutOff;
 	}
@@ -241,7 +243,7 @@
 		}
 	}
 
-	private static <T> CompletableFuture<T> later(Supplier<T> task) {
+	private static <T> CompletableFuture<T> async(Supplier<T> task) {
 		CompletableFuture<T> result = new CompletableFuture<>();
 		Thread.startVirtualThread(() -> {
 			try {
@@ -263,21 +265,21 @@
 		return Integer.parseInt(status.replaceAll("(?s).*\"in_progress\":(\\d+).*", "$1"));
 	}
 
-	private static HttpServer serverOfLargeAnswers() throws InterruptedException {
+	private static HttpServer largeResponseServer() throws InterruptedException {
 		return HttpServer.start(HttpServerSettings.plain("127.0.0.1", 0),
 				(exchange) -> exchange.reply(new Reply(200, List.of(), new byte[LARGE_BYTES])));
 	}
 
-	// The caller reads the beginning, and nothing more.
-	private static void beginLargeAnswer(LocalSystem system, HttpServer large, Socket socket) throws Exception {
-		offerInPlaceOfBookings(system, large);
+	// The caller reads the beginning of the response and nothing more.
+	private static void startLargeResponse(LocalSystem system, HttpServer large, Socket socket) throws Exception {
+		replaceBookingServers(system, large);
 		socket.setReceiveBufferSize(4096);
 		socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), system.entry(0).callerPort()));
 		send(socket, "GET /services/booking-api/large HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-1\r\n\r\n");
 		assertThat(socket.getInputStream().readNBytes(8)).asString().isEqualTo("HTTP/1.1");
 	}
 
-	private static void offerInPlaceOfBookings(LocalSystem system, HttpServer server) {
+	private static void replaceBookingServers(LocalSystem system, HttpServer server) {
 		String address = "127.0.0.1:" + server.port();
 		for (String domain : List.of("poa-a", "poa-b", "cxs-a")) {
 			system.store().instance(new Instance("booking-" + domain, "booking-api", address, domain, "", false));
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StreamsUnderFailureTests.java
@@ -15,45 +15,47 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Promises 1, 2, 5 and 6 through real entries and engines while streams run.
+ * Tests promises 1, 2, 5 and 6 through real entries and engines while streams run.
  */
 class StreamsUnderFailureTests {
 
 	private static final int TOKENS = 60;
 
-	// An engine of each stage in turn is killed while ten drafts run on it. Every caller
-	// gets the whole draft with the model's own tokens: the rest is made elsewhere.
+	// One engine of each stage in turn is killed while ten drafts run on it. Every caller
+	// receives the complete draft with the model's own tokens; the rest is produced by
+	// other engines.
 	@Test
 	void aDraftGoesOnWhenAStageDiesInMidStream() {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
 			for (String range : List.of("0-4", "4-8", "8-12", "12-16")) {
 				List<CompletableFuture<HttpTestClient.Response>> drafts = drafts(system, 10);
-				FakeEngine victim = system.engines().get("engine-poa-a-" + range);
-				long before = victim.stepCount();
-				LocalSystem.await(() -> victim.stepCount() > before + 20);
+				FakeEngine killed = system.engines().get("engine-poa-a-" + range);
+				long before = killed.stepCount();
+				LocalSystem.await(() -> killed.stepCount() > before + 20);
 				system.killEngine("engine-poa-a-" + range);
-				assertWhole(drafts);
+				assertComplete(drafts);
 			}
 		}
 	}
 
-	// An engine changes its version under running streams: its caches are gone and its
-	// generation differs. A step that names the old one must not be taken by the new.
+	// An engine changes its version while streams run: its caches are lost and its
+	// generation differs. It must refuse a step that names the old generation.
 	@Test
-	void aDraftGoesOnWhenAnEngineChangesItsVersion() {
+	void aDraftContinuesWhenAnEngineChangesItsVersion() {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
 			List<CompletableFuture<HttpTestClient.Response>> drafts = drafts(system, 10);
 			FakeEngine engine = system.engines().get("engine-poa-a-4-8");
 			LocalSystem.await(() -> engine.stepCount() > 20);
 			engine.upgrade();
-			assertWhole(drafts);
+			assertComplete(drafts);
 		}
 	}
 
-	// Every holder of one range is killed: the draft can't go on. What the caller has
-	// stays a visible part: an error event, no [DONE], and a broken connection.
+	// All engines of one layer range are killed, so the draft cannot continue. The tokens
+	// that the caller has must remain recognizable as incomplete: an error event, no
+	// [DONE], and an aborted connection.
 	@Test
-	void aCutAnswerIsVisiblyIncomplete() throws IOException {
+	void anAbortedResponseIsVisiblyIncomplete() throws IOException {
 		try (LocalSystem system = new LocalSystem().engines(5).entries(1).configure()) {
 			CompletableFuture<String> draft = CompletableFuture
 				.supplyAsync(() -> HttpTestClient.raw(system.entry(0).callerPort(), request(TOKENS)));
@@ -63,13 +65,14 @@
 			}
 			String answer = draft.join();
 			assertThat(answer).contains("\"whin-outcome\":\"unknown\"").doesNotContain("[DONE]");
-			assertThat(answer).as("the last chunk, which would mean a proper end").doesNotContain("\r\n0\r\n");
+			assertThat(answer).as("the last chunk, which would mark a complete response").doesNotContain("\r\n0\r\n");
 		}
 	}
 
-	// The caller closes its connection in mid-stream. Its work must not go on upstream.
+	// The caller closes its connection in the middle of a stream. Its work must not
+	// continue upstream.
 	@Test
-	void theWorkOfACallerWhoLeavesIsCancelledUpstream() throws IOException {
+	void theWorkOfACallerThatDisconnectsIsCancelledUpstream() throws IOException {
 		try (LocalSystem system = new LocalSystem().engines(2).entries(1).configure()) {
 			try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), system.entry(0).callerPort())) {
 				socket.getOutputStream().write(request(4000).getBytes(StandardCharsets.ISO_8859_1));
@@ -83,8 +86,8 @@
 		}
 	}
 
-	// The entry is told to stop while drafts run. None is cut off; a new one is refused
-	// as not run; the entry then ends by itself.
+	// The entry is ordered to stop while drafts run. None is cut off, a new one is
+	// refused as not run, and the entry then exits on its own.
 	@Test
 	void aStopCutsOffNoStream() throws InterruptedException {
 		try (LocalSystem system = new LocalSystem().engines(3).entries(1).configure()) {
@@ -92,16 +95,17 @@
 			LocalSystem.await(() -> system.engines().values().stream().mapToLong(FakeEngine::openStreams).sum() >= 40);
 			CompletableFuture<Integer> cutOff = CompletableFuture.supplyAsync(() -> stop(system.entry(0)));
 			LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() == 503);
-			HttpTestClient.Response late = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1, false);
-			assertThat(late.outcome()).isEqualTo("not-run");
-			assertThat(late.body()).contains("stopping");
-			assertWhole(drafts);
+			HttpTestClient.Response refused = HttpTestClient.draft(system.entry(0).callerPort(), "key-1", "x", 1,
+					false);
+			assertThat(refused.outcome()).isEqualTo("not-run");
+			assertThat(refused.body()).contains("stopping");
+			assertComplete(drafts);
 			assertThat(cutOff.join()).isZero();
 		}
 	}
 
-	// The engine itself says that it leaves; the instance list lags and shows it as live
-	// for good. New drafts must avoid it, on every entry.
+	// The engine reports that it is leaving, while the instance list lags and permanently
+	// shows it as live. Every entry must avoid it for new drafts.
 	@Test
 	void aLeavingEngineGetsNoNewWorkThoughTheListLags() {
 		try (LocalSystem system = new LocalSystem().engines(0).entries(2).configure()) {
@@ -143,7 +147,7 @@
 		return drafts;
 	}
 
-	private static void assertWhole(List<CompletableFuture<HttpTestClient.Response>> drafts) {
+	private static void assertComplete(List<CompletableFuture<HttpTestClient.Response>> drafts) {
 		for (int i = 0; i < drafts.size(); i++) {
 			HttpTestClient.Response answer = drafts.get(i).join();
 			assertThat(answer.body()).endsWith("data: [DONE]\n\n");
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/SuspendableTicker.java
@@ -3,85 +3,86 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * The machine's clock, but suspensions are leaps, and the thread that stops an entry does
- * not sleep: what it wanted to sleep is kept, and its time has passed.
+ * System clock with emulated suspensions of the process. The thread that stops an entry
+ * does not sleep: its sleeps advance the clock and are summed up.
  * <p>
- * A leap that is to end as a signal is handled comes to pass with the first look at the
- * clock of the thread that handles it, so that no held up thread comes between the two.
- * Safe for all threads.
+ * A suspension that ends as a signal is handled takes effect when the handling thread
+ * first reads the clock, so that no other thread runs in between. Thread-safe.
  */
 final class SuspendableTicker implements Ticker {
 
-	private final Ticker machine = Ticker.system();
+	private final Ticker system = Ticker.system();
 
-	private long leaptMs;
+	private long offsetMs;
 
-	private long pendingMs;
+	private long pendingSuspensionMs;
 
-	private Thread stops;
+	private Thread stoppingThread;
 
 	private long sleptMs;
 
-	/** Looks at the clock by the thread that notes that the entry runs. */
-	private int looks;
+	/** The clock reads of the thread that records that the entry is running. */
+	private int clockReads;
 
 	/**
-	 * The process is suspended now and goes on.
-	 * @param durationMs how long
+	 * Emulates a suspension of the process that ends now.
+	 * @param durationMs the duration
 	 */
 	synchronized void suspend(long durationMs) {
-		this.leaptMs += durationMs;
-		this.looks = 0;
+		this.offsetMs += durationMs;
+		this.clockReads = 0;
 	}
 
 	/**
-	 * The calling thread stops the entry now, by a signal that came in a suspension.
-	 * @param durationMs how long the suspension was
+	 * Marks the calling thread as the one that stops the entry, after a signal that
+	 * arrived during a suspension.
+	 * @param durationMs the duration of the suspension
 	 */
 	synchronized void suspendBeforeSignal(long durationMs) {
-		this.stops = Thread.currentThread();
-		this.pendingMs = durationMs;
+		this.stoppingThread = Thread.currentThread();
+		this.pendingSuspensionMs = durationMs;
 	}
 
 	/**
-	 * How long the thread that stops wanted to sleep.
-	 * @return the sum
+	 * Returns the total requested sleep time of the thread that stops the entry.
+	 * @return the sum of the requested sleeps
 	 */
 	synchronized long sleptMs() {
 		return this.sleptMs;
 	}
 
 	/**
-	 * Whether the entry has noted that it runs since the last leap.
-	 * @return {@code true} where the note is written for sure
+	 * Returns whether the entry has recorded that it is running since the last
+	 * suspension.
+	 * @return {@code true} if the record is certainly written
 	 */
 	synchronized boolean runRecorded() {
-		// The thread comes back to the clock only after it has written what it read.
-		return this.looks > 1;
+		// The thread reads the clock again only after it has recorded the previous time.
+		return this.clockReads > 1;
 	}
 
 	@Override
 	public synchronized long nowMs() {
-		if (Thread.currentThread() == this.stops) {
-			this.leaptMs += this.pendingMs;
-			this.pendingMs = 0;
+		if (Thread.currentThread() == this.stoppingThread) {
+			this.offsetMs += this.pendingSuspensionMs;
+			this.pendingSuspensionMs = 0;
 		}
 		if ("whin-running".equals(Thread.currentThread().getName())) {
-			this.looks++;
+			this.clockReads++;
 		}
-		return this.machine.nowMs() + this.leaptMs;
+		return this.system.nowMs() + this.offsetMs;
 	}
 
 	@Override
 	public void sleepMs(long durationMs) throws InterruptedException {
 		synchronized (this) {
-			if (Thread.currentThread() == this.stops) {
+			if (Thread.currentThread() == this.stoppingThread) {
 				this.sleptMs += durationMs;
-				this.leaptMs += durationMs;
+				this.offsetMs += durationMs;
 				return;
 			}
 		}
-		this.machine.sleepMs(durationMs);
+		this.system.sleepMs(durationMs);
 	}
 
 }
