--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
@@ -84,7 +84,7 @@
 	@Test
 	void aRefusalOfADuplicatedStepIsNotReportedAsNotRun() {
 		Simulation simulation = new Simulation(1, 0);
-		simulation.engines.doubleEverything();
+		simulation.engines.duplicateSteps();
 		DraftResult result = simulation.draft("r", "a", new Collector(Integer.MAX_VALUE));
 		assertThat(simulation.engines.stepsRun()).isPositive();
 		assertThat(result.outcome()).isInstanceOf(Outcome.Unknown.class);
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/FaultyEngines.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/FaultyEngines.java
@@ -49,7 +49,7 @@
 				new FakeEngine(upstream.service(), layerCount, upstream.range(), 100, true));
 	}
 
-	void doubleEverything() {
+	void duplicateSteps() {
 		this.duplicating = true;
 	}
 
