--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
@@ -118,7 +118,7 @@
 	@Test
 	void aDraftRetriesEnginesThatFailedItOnce() {
 		Simulation simulation = new Simulation(1, 0);
-		simulation.engines.eachSilentOnce();
+		simulation.engines.eachUnresponsiveOnce();
 		DraftResult result = simulation.draft("r", "a", new Collector(Integer.MAX_VALUE));
 		assertThat(result.outcome()).isInstanceOf(Outcome.Answered.class);
 		assertThat(result.tokens()).isEqualTo(ReferenceModel.draft("a", LAYERS, TOKENS));
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/FaultyEngines.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/FaultyEngines.java
@@ -53,7 +53,7 @@
 		this.duplicating = true;
 	}
 
-	void eachSilentOnce() {
+	void eachUnresponsiveOnce() {
 		this.unresponsiveOnce.addAll(this.engines.keySet());
 	}
 
