--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
@@ -10,7 +10,7 @@
  * This router's side of what routers say to each other: what it tells of itself, and who
  * hears of what others tell. Decides nothing. Confined to the event loop.
  */
-final class PeerConversation implements PeerLink.Handler {
+final class PeerMessageHandler implements PeerLink.Handler {
 
 	private final RouterContext router;
 
@@ -38,7 +38,7 @@
 	 * @param leadership whether it does
 	 * @param era the era of the store
 	 */
-	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationKeeper configurationKeeper,
+	PeerMessageHandler(RouterContext router, RouterSettings settings, ConfigurationKeeper configurationKeeper,
 			DirectoryKeeper directoryKeeper, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
 		this.router = router;
 		this.settings = settings;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -173,7 +173,7 @@
 				settings.failureDomain());
 		this.directoryKeeper = new DirectoryKeeper(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
-		this.peerLink = new PeerLink(this, this.peers, new PeerConversation(this, settings, this.configurationKeeper,
+		this.peerLink = new PeerLink(this, this.peers, new PeerMessageHandler(this, settings, this.configurationKeeper,
 				this.directoryKeeper, this.layerKeeper, this.leadership, ports.store().era()));
 		ports.store().era().onReturn(this::storeReturned);
 	}
