--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerDocuments.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConfigurationHandler.java
@@ -18,7 +18,7 @@
  * to the event loop.
  */
 @Sharable
-public final class PeerDocuments extends SimpleChannelInboundHandler<HttpRequest> {
+public final class PeerConfigurationHandler extends SimpleChannelInboundHandler<HttpRequest> {
 
 	/** The path of the configuration. */
 	public static final String PATH = "/configuration";
@@ -30,7 +30,7 @@
 
 	private final LongSupplier proofAgeMs;
 
-	PeerDocuments(Supplier<ConfigurationDocument> document, LongSupplier proofAgeMs) {
+	PeerConfigurationHandler(Supplier<ConfigurationDocument> document, LongSupplier proofAgeMs) {
 		this.document = document;
 		this.proofAgeMs = proofAgeMs;
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -189,7 +189,7 @@
 		this.layerKeeper.start();
 		Channel peerChannel = this.peerLink.start(this.settings.peers());
 		this.closer.register(peerChannel::close);
-		PeerDocuments documents = new PeerDocuments(this.configurationKeeper::document,
+		PeerConfigurationHandler documents = new PeerConfigurationHandler(this.configurationKeeper::document,
 				() -> this.proof.ageMs(this.boot.nowMs()));
 		listen(this.settings.peers(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), documents));
 		announce();
