--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
@@ -15,7 +15,7 @@
  * <p>
  * A wait brings changes at once and proves nothing while it is open: it may have been
  * lost on a connection that went silent. A look is answered at once and proves the list,
- * for this router and for those that hear of it. {@link ListWatchRota} says who waits and
+ * for this router and for those that hear of it. {@link ListWatchRotation} says who waits and
  * who looks when.
  * <p>
  * Invariants: at most one list or look and at most one wait are under way; each answer is
@@ -61,7 +61,7 @@
 
 	private final long drainMs;
 
-	private final ListWatchRota rota;
+	private final ListWatchRotation rota;
 
 	private boolean asking;
 
@@ -92,7 +92,7 @@
 		this.leads = leads;
 		this.drainMs = drainMs;
 		this.random = random;
-		this.rota = new ListWatchRota(drainMs, random);
+		this.rota = new ListWatchRotation(drainMs, random);
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	 * @return {@code false} also where there are no others
 	 */
 	boolean runsAhead() {
-		return waits() && ListWatchRota.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
+		return waits() && ListWatchRotation.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRota.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
@@ -16,7 +16,7 @@
  * Those that wait look sooner, and tell the others before those do. Confined to one
  * thread.
  */
-final class ListWatchRota {
+final class ListWatchRotation {
 
 	/**
 	 * How many routers wait on average: some of them may be dead, frozen or on a
@@ -52,7 +52,7 @@
 	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
 	 * @param random the source of chance
 	 */
-	ListWatchRota(long drainMs, RandomGenerator random) {
+	ListWatchRotation(long drainMs, RandomGenerator random) {
 		this.drainMs = drainMs;
 		this.random = random;
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
@@ -73,7 +73,7 @@
 
 		private final int index;
 
-		private final ListWatchRota rota = new ListWatchRota(DRAIN_MS, ListProofLoadTests.this.random);
+		private final ListWatchRotation rota = new ListWatchRotation(DRAIN_MS, ListProofLoadTests.this.random);
 
 		private boolean waits;
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotaTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotationTests.java
@@ -10,11 +10,11 @@
 /**
  * How many routers wait at the store while the list of upstreams changes all the time.
  */
-class ListWatchRotaTests {
+class ListWatchRotationTests {
 
 	private static final long DRAIN_MS = 3000;
 
-	private final ListWatchRota rota = new ListWatchRota(DRAIN_MS, new Random(1));
+	private final ListWatchRotation rota = new ListWatchRotation(DRAIN_MS, new Random(1));
 
 	// A store that allows a few thousand calls a second is asked by each of 390 routers
 	// with each change. Whoever has just heard of one goes on only if few others do.
