--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
@@ -70,7 +70,7 @@
 		if (status.storeEra() == this.era.current()) {
 			this.configurationKeeper.heardOfReturn(status.storeReturnAgeMs());
 		}
-		peers.heard(status, this.router.nowMs());
+		peers.update(status, this.router.nowMs());
 		status.suspects().forEach(this.router.watch()::hearsay);
 		this.configurationKeeper.heard(status.version(), peers.provedAtMs(status), status.address());
 		this.directoryKeeper.heard(status.address(), status.list(), peers.listProvedAtMs(status));
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -105,7 +105,7 @@
 	 * @param status what it said
 	 * @param nowMs the time
 	 */
-	void heard(PeerStatus status, long nowMs) {
+	void update(PeerStatus status, long nowMs) {
 		if (status.address().equals(this.self)) {
 			return;
 		}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -38,8 +38,8 @@
 
 	@Test
 	void memoryOfRequestsIsSummedOverRoutersThatWereHeardLately() {
-		this.table.heard(status("10.0.0.2:1", 1, true, 0), 0);
-		this.table.heard(status("10.0.0.3:1", 1, true, 0), 1000);
+		this.table.update(status("10.0.0.2:1", 1, true, 0), 0);
+		this.table.update(status("10.0.0.3:1", 1, true, 0), 1000);
 
 		assertThat(this.table.tokenLayersAt("e1", 1000)).isEqualTo(200);
 		assertThat(this.table.tokenLayersAt("e1", PeerTable.SILENT_MS + 500)).isEqualTo(100);
@@ -58,7 +58,7 @@
 
 	@Test
 	void aRouterThatLeavesIsNoLeader() {
-		this.table.heard(status("10.0.0.2:1", 1, true, 0), 0);
+		this.table.update(status("10.0.0.2:1", 1, true, 0), 0);
 
 		assertThat(this.table.hasLeader(0)).isTrue();
 		assertThat(this.table.hasLeader(PeerTable.SILENT_MS)).isFalse();
@@ -115,7 +115,7 @@
 		for (int index = 0; index < routers; index++) {
 			PeerTable own = new PeerTable("10.0.0." + index + ":1", new Random(1));
 			for (int other = 0; other < routers; other++) {
-				own.heard(status("10.0.0." + other + ":1", 1, false, 0), 0);
+				own.update(status("10.0.0." + other + ":1", 1, false, 0), 0);
 			}
 			fleet.add(own);
 		}
@@ -134,8 +134,8 @@
 		this.table.addresses(known);
 		assertThat(this.table.listWatchers(0)).isZero();
 
-		this.table.heard(status("10.0.0.2:1", 1, true, 0), 0);
-		this.table.heard(inDomain("10.0.0.3:1", "a", false), 0);
+		this.table.update(status("10.0.0.2:1", 1, true, 0), 0);
+		this.table.update(inDomain("10.0.0.3:1", "a", false), 0);
 		assertThat(this.table.listWatchers(0)).isBetween(47.0, 48.0);
 	}
 
@@ -157,7 +157,7 @@
 	// with its age, and grows old like one's own.
 	@Test
 	void theHoldersWordIsPassedOnWithItsAge() {
-		this.table.heard(ofLeader("10.0.0.2:1", false, false, 600), 1_000);
+		this.table.update(ofLeader("10.0.0.2:1", false, false, 600), 1_000);
 
 		assertThat(this.table.hasLeader(1_000)).isTrue();
 		assertThat(this.table.leaderAgeMs(1_100)).isEqualTo(700);
@@ -167,13 +167,13 @@
 
 	@Test
 	void aHolderThatLeavesIsLookedForAtOnceWhateverOthersStillPassOn() {
-		this.table.heard(ofLeader("10.0.0.2:1", true, false, -1), 1_000);
-		this.table.heard(ofLeader("10.0.0.2:1", true, true, -1), 1_100);
-		this.table.heard(ofLeader("10.0.0.3:1", false, false, 150), 1_200);
+		this.table.update(ofLeader("10.0.0.2:1", true, false, -1), 1_000);
+		this.table.update(ofLeader("10.0.0.2:1", true, true, -1), 1_100);
+		this.table.update(ofLeader("10.0.0.3:1", false, false, 150), 1_200);
 
 		assertThat(this.table.hasLeader(1_200)).isFalse();
 
-		this.table.heard(ofLeader("10.0.0.3:1", false, false, 50), 1_300);
+		this.table.update(ofLeader("10.0.0.3:1", false, false, 50), 1_300);
 		assertThat(this.table.hasLeader(1_300)).isTrue();
 	}
 
@@ -186,7 +186,7 @@
 			known.add("10.0.0." + index + ":1");
 		}
 		this.table.addresses(known);
-		known.subList(0, 36).forEach((address) -> this.table.heard(ofLeader(address, false, false, -1), 1_000));
+		known.subList(0, 36).forEach((address) -> this.table.update(ofLeader(address, false, false, -1), 1_000));
 
 		assertThat(this.table.tokenLayersAt("e1", 1_000)).isBetween(8_600L, 8_800L);
 	}
@@ -195,9 +195,9 @@
 	// one is gone and the balancer sends to it all the same.
 	@Test
 	void oneOfTwoOthersDoesNotSufficeForCallersThatAreRefused() {
-		this.table.heard(inDomain("10.0.0.2:1", "a", false), 0);
-		this.table.heard(inDomain("10.0.0.3:1", "a", true), 0);
-		this.table.heard(inDomain("10.0.0.4:1", "b", false), 0);
+		this.table.update(inDomain("10.0.0.2:1", "a", false), 0);
+		this.table.update(inDomain("10.0.0.3:1", "a", true), 0);
+		this.table.update(inDomain("10.0.0.4:1", "b", false), 0);
 
 		assertThat(this.table.others("a", 100)).isEqualTo(new PeerTable.Others(2, 1));
 		assertThat(this.table.others("a", 100).suffice()).isFalse();
@@ -205,7 +205,7 @@
 
 	@Test
 	void theOnlyRouterOfAFailureDomainCountsOnThoseOfOtherOnes() {
-		this.table.heard(inDomain("10.0.0.4:1", "b", false), 0);
+		this.table.update(inDomain("10.0.0.4:1", "b", false), 0);
 
 		assertThat(this.table.others("a", 100).suffice()).isTrue();
 		assertThat(this.table.others("a", PeerTable.SILENT_MS).suffice()).isFalse();
@@ -216,7 +216,7 @@
 	@Test
 	void routersThatCanNotBeHeardInTimeAreNotTakenForGone() {
 		for (int index = 2; index < 101; index++) {
-			this.table.heard(inDomain("10.0.0." + index + ":1", "a", false), (index < 38) ? 2_000 : 0);
+			this.table.update(inDomain("10.0.0." + index + ":1", "a", false), (index < 38) ? 2_000 : 0);
 		}
 
 		assertThat(this.table.others("a", 2_000).suffice()).isTrue();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreReturnModelTests.java
@@ -320,7 +320,7 @@
 			if (other.era.current() == this.era.current()) {
 				this.configuration.heardOfReturn(other.configuration.returnAgeMs());
 			}
-			this.peers.heard(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
+			this.peers.update(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
 					List.of(), false, Map.of(), other.leadership.holds(), other.peers.leaderAgeMs(nowMs),
 					other.list.state(), other.era.current(), other.configuration.returnAgeMs()), nowMs);
 			this.configuration.heard(version, provedAtMs, other.address);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
@@ -168,7 +168,7 @@
 		for (String address : this.addresses) {
 			PeerStatus status = new PeerStatus("n", address, "a", 1, false, 4, 0, List.of(), Map.of(), List.of(), false,
 					Map.of(), false, -1, ListState.NONE, 0, -1);
-			this.tables.forEach((table) -> table.heard(status, this.nowMs));
+			this.tables.forEach((table) -> table.update(status, this.nowMs));
 		}
 	}
 
