--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -372,7 +372,7 @@
 
 	private boolean repeatGranted() {
 		return this.router.budget(this.service.name())
-			.tryRepeat(this.router.nowMs(), this.router.peers().sharers(this.router.nowMs()));
+			.tryRepeat(this.router.nowMs(), this.router.peers().routerCount(this.router.nowMs()));
 	}
 
 	private void avoid(Attempt ended, AttemptEnd end, String faultyAddress) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
@@ -100,7 +100,7 @@
 	 * @return {@code false} also where there are no others
 	 */
 	boolean runsAhead() {
-		return waits() && ListWatchRotation.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
+		return waits() && ListWatchRotation.leavesFollowers(this.router.peers().routerCount(this.router.nowMs()));
 	}
 
 	/**
@@ -138,7 +138,7 @@
 
 	/** Lists anew a while after the store came back, each router at a time of its own. */
 	void relist() {
-		long routers = this.router.peers().sharers(this.router.nowMs());
+		long routers = this.router.peers().routerCount(this.router.nowMs());
 		long spreadMs = Math.min(RELIST_MS_PER_ROUTER * routers, (long) (RELIST_PART * this.drainMs));
 		this.relisting = true;
 		in(this.random.nextLong(Math.max(1, spreadMs)), this::list);
@@ -191,7 +191,7 @@
 
 	private void retryLook() {
 		if (!this.relisting) {
-			in(WatchPause.ms(this.router.peers().sharers(this.router.nowMs()), this.drainMs), this::step);
+			in(WatchPause.ms(this.router.peers().routerCount(this.router.nowMs()), this.drainMs), this::step);
 		}
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -307,7 +307,7 @@
 	 * @param nowMs the time
 	 * @return the number, this one included
 	 */
-	int sharers(long nowMs) {
+	int routerCount(long nowMs) {
 		this.byAddress.values().removeIf((peer) -> peer.status != null && nowMs - peer.heardAtMs > REMEMBERED_MS);
 		return 1 + this.byAddress.size();
 	}
@@ -345,7 +345,7 @@
 	 * @return the part of each of them; 0 where this one is none of them
 	 */
 	double partOf(long key, int most, long nowMs) {
-		int doing = Math.min(most, sharers(nowMs));
+		int doing = Math.min(most, routerCount(nowMs));
 		return (nearer(key, nowMs) < doing) ? 1.0 / doing : 0;
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -259,7 +259,7 @@
 		this.configurationKeeper.storeReturned();
 		this.directoryKeeper.storeReturned();
 		this.crashGuard.records().storeReturned();
-		long spreadMs = ANNOUNCE_SPREAD_MS_PER_ROUTER * this.peers.sharers(nowMs());
+		long spreadMs = ANNOUNCE_SPREAD_MS_PER_ROUTER * this.peers.routerCount(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(spreadMs), TimeUnit.MILLISECONDS);
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -52,7 +52,7 @@
 	void aRouterThatHearsNobodyStillSharesWithThoseItKnows() {
 		this.table.addresses(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.1:1"));
 
-		assertThat(this.table.sharers(0)).isEqualTo(3);
+		assertThat(this.table.routerCount(0)).isEqualTo(3);
 		assertThat(this.table.heardLately(0)).isZero();
 	}
 
