--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -344,7 +344,7 @@
 	 * @param nowMs the time
 	 * @return the part of each of them; 0 where this one is none of them
 	 */
-	double partOf(long key, int most, long nowMs) {
+	double shareOf(long key, int most, long nowMs) {
 		int doing = Math.min(most, routerCount(nowMs));
 		return (nearer(key, nowMs) < doing) ? 1.0 / doing : 0;
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -134,7 +134,7 @@
 	private double part(String upstream, double perSecond) {
 		double used = Math.max(LEAST_PER_SECOND, USED_PART * perSecond);
 		int senders = LEAST_SENDERS + (int) Math.min(Integer.MAX_VALUE / 2, SENDERS_PER_LIMIT * used);
-		return used * this.router.peers().partOf(upstream.hashCode(), senders, this.router.nowMs());
+		return used * this.router.peers().shareOf(upstream.hashCode(), senders, this.router.nowMs());
 	}
 
 	/**
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -106,8 +106,8 @@
 		List<PeerTable> fleet = fleetThatHearsEachOther(4);
 		long laterMs = 40_000;
 
-		assertThat(fleet.stream().filter((own) -> own.partOf(5, 2, 0) > 0)).hasSize(2);
-		assertThat(fleet).allMatch((own) -> own.partOf(5, 2, laterMs) == 0.5);
+		assertThat(fleet.stream().filter((own) -> own.shareOf(5, 2, 0) > 0)).hasSize(2);
+		assertThat(fleet).allMatch((own) -> own.shareOf(5, 2, laterMs) == 0.5);
 	}
 
 	private static List<PeerTable> fleetThatHearsEachOther(int routers) {
