--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
@@ -200,7 +200,7 @@
 			return;
 		}
 		double others = this.router.peers().listWatchers(this.router.nowMs());
-		if (this.leads.getAsBoolean() || this.rota.goesOn(others)) {
+		if (this.leads.getAsBoolean() || this.rota.shouldWatch(others)) {
 			logger.atInfo().log("event=list-wait-begun others=%.1f version=%s", others, this.reader.version());
 			waitForChanges();
 		}
@@ -228,7 +228,7 @@
 
 	private void goOnWaiting(boolean changed) {
 		double others = this.router.peers().listWatchers(this.router.nowMs());
-		if (!this.leads.getAsBoolean() && !this.rota.goesOn(others)) {
+		if (!this.leads.getAsBoolean() && !this.rota.shouldWatch(others)) {
 			logger.atInfo().log("event=list-wait-left others=%.1f version=%s", others, this.reader.version());
 		}
 		else if (changed) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
@@ -72,7 +72,7 @@
 	 * @param others how many others wait at the store, as far as is known
 	 * @return whether it waits there
 	 */
-	boolean goesOn(double others) {
+	boolean shouldWatch(double others) {
 		return this.random.nextDouble() * (1 + others) < WANTED;
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
@@ -139,7 +139,7 @@
 			long others = ListProofLoadTests.this.fleet.stream()
 				.filter((member) -> member != this && member.waits)
 				.count();
-			this.waits = this.rota.goesOn(others);
+			this.waits = this.rota.shouldWatch(others);
 			this.waitEndsMs = nowMs + WAIT_MS;
 		}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotationTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotationTests.java
@@ -34,7 +34,7 @@
 	}
 
 	private int goingOn(int watching) {
-		return (int) IntStream.range(0, watching).filter((index) -> this.rota.goesOn(watching - 1)).count();
+		return (int) IntStream.range(0, watching).filter((index) -> this.rota.shouldWatch(watching - 1)).count();
 	}
 
 	// A caller's request is sent to an upstream that has gone: whoever waited at the
