--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
@@ -151,7 +151,7 @@
 		if (this.leads.getAsBoolean() && !waits()) {
 			waitForChanges();
 		}
-		long pauseMs = this.rota.pauseMs(this.reader.ageMs(), runsAhead());
+		long pauseMs = this.rota.pollDelayMs(this.reader.ageMs(), runsAhead());
 		if (pauseMs > 0) {
 			in(pauseMs, this::step);
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
@@ -83,7 +83,7 @@
 	 * @return after how many milliseconds it has to think again; 0 where it has to look
 	 * now
 	 */
-	long pauseMs(long ageMs, boolean waits) {
+	long pollDelayMs(long ageMs, boolean waits) {
 		long staleMs = part(waits ? FORERUNNER_STALE_PART : STALE_PART);
 		long spreadMs = part(waits ? FORERUNNER_SPREAD_PART : SPREAD_PART);
 		return (ageMs >= staleMs) ? 0 : staleMs - ageMs + this.random.nextLong(spreadMs);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
@@ -116,7 +116,7 @@
 		}
 
 		private void step(long nowMs, boolean reachesStore) {
-			long pauseMs = this.rota.pauseMs(nowMs - this.provedAtMs, this.waits);
+			long pauseMs = this.rota.pollDelayMs(nowMs - this.provedAtMs, this.waits);
 			if (pauseMs == 0) {
 				ListProofLoadTests.this.looks++;
 				pauseMs = look(nowMs, reachesStore);
@@ -132,7 +132,7 @@
 			if (!this.waits) {
 				waitOrLeave(nowMs);
 			}
-			return this.rota.pauseMs(0, this.waits);
+			return this.rota.pollDelayMs(0, this.waits);
 		}
 
 		private void waitOrLeave(long nowMs) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotationTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotationTests.java
@@ -48,7 +48,7 @@
 
 	private long ageAtLookMs(boolean waits) {
 		long ageMs = 0;
-		for (long pauseMs = this.rota.pauseMs(ageMs, waits); pauseMs > 0; pauseMs = this.rota.pauseMs(ageMs, waits)) {
+		for (long pauseMs = this.rota.pollDelayMs(ageMs, waits); pauseMs > 0; pauseMs = this.rota.pollDelayMs(ageMs, waits)) {
 			ageMs += pauseMs;
 		}
 		return ageMs;
@@ -58,7 +58,7 @@
 	// together, and the first ones that look tell the others before those look too.
 	@Test
 	void routersWhoseListsGrowOldTogetherDoNotLookTogether() {
-		long[] pausesMs = IntStream.range(0, 95).mapToLong((index) -> this.rota.pauseMs(0, false)).sorted().toArray();
+		long[] pausesMs = IntStream.range(0, 95).mapToLong((index) -> this.rota.pollDelayMs(0, false)).sorted().toArray();
 
 		assertThat(pausesMs[94] - pausesMs[0]).isGreaterThan(DRAIN_MS / 20);
 	}
