--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
@@ -101,7 +101,7 @@
 	}
 
 	/** Asks many at once, because what this router has to say can't wait. */
-	void tellNow() {
+	void sendStatusNow() {
 		ask(this.table.targets(URGENT_FANOUT, this.router.nowMs()));
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -159,7 +159,7 @@
 		this.pool = new UpstreamPool(this.loop, this.dialect, this.ticker);
 		this.directory = new UpstreamDirectory((upstream) -> this.pool.drop(upstream.incarnation()));
 		this.watch = new EngineWatch(this, ports.engines(), this::engineNews, () -> leadership().holds());
-		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().tellNow());
+		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().sendStatusNow());
 		this.store = ports.store();
 		this.engines = ports.engines();
 		this.configurationKeeper = new ConfigurationKeeper(this.loop, ports.store(), this.proof, boot,
@@ -264,7 +264,7 @@
 	}
 
 	private void engineNews() {
-		this.peerLink.tellNow();
+		this.peerLink.sendStatusNow();
 		this.layerKeeper.plan();
 	}
 
@@ -498,7 +498,7 @@
 
 		@Override
 		public void tellOthers() {
-			Router.this.peerLink.tellNow();
+			Router.this.peerLink.sendStatusNow();
 		}
 
 		@Override
