--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
@@ -109,7 +109,7 @@
 	 * Asks many routers that weren't heard yet.
 	 * @return how many
 	 */
-	int askUnheard() {
+	int querySilentPeers() {
 		List<String> targets = this.table.silent(URGENT_FANOUT, this.router.nowMs());
 		ask(targets);
 		return targets.size();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -242,7 +242,7 @@
 		this.store.announce(this.settings.name(), Addresses.text(this.settings.peers()), (reply) -> {
 			if (reply instanceof StoreReply.Found<List<String>> found) {
 				this.peers.addresses(found.value());
-				this.configurationKeeper.consulting(this.peerLink.askUnheard());
+				this.configurationKeeper.consulting(this.peerLink.querySilentPeers());
 				logger.atInfo().log("event=announced routers=%d", found.value().size());
 			}
 			else {
