--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
@@ -148,7 +148,7 @@
 	 * @param address where it takes messages
 	 * @param after the version that this router has
 	 */
-	void askForChanges(String address, StoreVersion after) {
+	void requestChanges(String address, StoreVersion after) {
 		send(this.codec.encode(new PeerMessage.ChangesQuestion(after)), Addresses.parse(address));
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -503,7 +503,7 @@
 
 		@Override
 		public void askForChanges(String address, StoreVersion after) {
-			Router.this.peerLink.askForChanges(address, after);
+			Router.this.peerLink.requestChanges(address, after);
 		}
 
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerLinkTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerLinkTests.java
@@ -52,7 +52,7 @@
 		PeerLink link = link(asking, changes, told);
 		Channel second = bound(link.start(asking));
 
-		link.askForChanges(answering.getAddress().getHostAddress() + ":" + answering.getPort(), Versions.v(3));
+		link.requestChanges(answering.getAddress().getHostAddress() + ":" + answering.getPort(), Versions.v(3));
 
 		assertThat(told.get(5, TimeUnit.SECONDS)).isEqualTo(changes);
 		first.close().sync();
