--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -297,7 +297,7 @@
 	 * @param nowMs the time
 	 * @return 1 where nobody says that it is slow
 	 */
-	double paceOf(String engineId, long nowMs) {
+	double slowdownOf(String engineId, long nowMs) {
 		return this.heard.paceOf(engineId, nowMs);
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -143,7 +143,7 @@
 
 	private double pace(UpstreamState state, long nowMs) {
 		return Math.max(this.paces.getOrDefault(state.incarnation(), 1.0),
-				this.peers.paceOf(state.incarnation(), nowMs));
+				this.peers.slowdownOf(state.incarnation(), nowMs));
 	}
 
 	private static Engine engine(UpstreamState state, EngineKind kind) {
