--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -213,13 +213,13 @@
 	 * @param nowMs the time
 	 * @return how many are known and how many of them serve
 	 */
-	Others others(String failureDomain, long nowMs) {
+	ReachablePeers others(String failureDomain, long nowMs) {
 		List<Peer> known = this.byAddress.values().stream().filter((peer) -> peer.status != null).toList();
 		List<Peer> near = known.stream().filter((peer) -> peer.status.failureDomain().equals(failureDomain)).toList();
 		List<Peer> reachable = near.isEmpty() ? known : near;
 		long serving = reachable.stream().filter((peer) -> serves(peer, nowMs)).count();
 		double heard = Math.min(1, MOST_HEARD / Math.max(1, this.byAddress.size()));
-		return new Others((int) Math.round(reachable.size() * heard), (int) serving);
+		return new ReachablePeers((int) Math.round(reachable.size() * heard), (int) serving);
 	}
 
 	private static boolean serves(Peer peer, long nowMs) {
@@ -372,7 +372,7 @@
 	 * @param known how many are known
 	 * @param serving how many of them take requests, as far as was heard
 	 */
-	record Others(int known, int serving) {
+	record ReachablePeers(int known, int serving) {
 
 		/**
 		 * Whether a caller that is refused here finds one that serves.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
@@ -60,7 +60,7 @@
 	 * @return the judgement
 	 */
 	Judgement judge(StopSchedule schedule, long nowMs, Candidate candidate, long[] inProgressMs,
-			PeerTable.Others others) {
+			PeerTable.ReachablePeers others) {
 		long leftMs = schedule.leftMs(nowMs);
 		double mostOutliving = candidate.repeatable() ? MOST_OUTLIVING : MOST_OUTLIVING_FOR_GOOD;
 		RecentDurations durations = this.byFamily.get(candidate.family());
@@ -117,7 +117,7 @@
 	 * known
 	 * @param others the other processes
 	 */
-	record Judgement(boolean begins, long ageMs, long leftMs, double outliving, PeerTable.Others others) {
+	record Judgement(boolean begins, long ageMs, long leftMs, double outliving, PeerTable.ReachablePeers others) {
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -199,7 +199,7 @@
 		this.table.update(inDomain("10.0.0.3:1", "a", true), 0);
 		this.table.update(inDomain("10.0.0.4:1", "b", false), 0);
 
-		assertThat(this.table.others("a", 100)).isEqualTo(new PeerTable.Others(2, 1));
+		assertThat(this.table.others("a", 100)).isEqualTo(new PeerTable.ReachablePeers(2, 1));
 		assertThat(this.table.others("a", 100).suffice()).isFalse();
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StopAdmissionTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StopAdmissionTests.java
@@ -12,9 +12,9 @@
 
 	private static final StopAdmission.Family DRAFTS = new StopAdmission.Family("llm", RequestKind.STREAMING);
 
-	private static final PeerTable.Others ENOUGH = new PeerTable.Others(2, 2);
+	private static final PeerTable.ReachablePeers ENOUGH = new PeerTable.ReachablePeers(2, 2);
 
-	private static final PeerTable.Others TOO_FEW = new PeerTable.Others(2, 1);
+	private static final PeerTable.ReachablePeers TOO_FEW = new PeerTable.ReachablePeers(2, 1);
 
 	private static final long[] NONE = {};
 
@@ -132,7 +132,7 @@
 		}
 	}
 
-	private boolean begins(long nowMs, boolean repeatable, PeerTable.Others others) {
+	private boolean begins(long nowMs, boolean repeatable, PeerTable.ReachablePeers others) {
 		return this.admission.judge(this.schedule, nowMs, attempt(DRAFTS, repeatable), NONE, others).begins();
 	}
 
