--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -201,7 +201,7 @@
 	 * @param nowMs the time
 	 * @return the number, this one left out
 	 */
-	int heardLately(long nowMs) {
+	int activeCount(long nowMs) {
 		return this.heard.count(nowMs);
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -120,7 +120,7 @@
 		// All routers decide alone and much alike: what this one has just sent to an
 		// engine, the others have too, and prompts that all go the same way after a loss
 		// are read one after the other.
-		int routers = 1 + this.peers.heardLately(nowMs);
+		int routers = 1 + this.peers.activeCount(nowMs);
 		List<PathFinder.Candidate> candidates = new ArrayList<>();
 		for (UpstreamState state : this.directory.staying(wish.service().name())) {
 			EngineKind kind = profile.kinds().get(state.upstream().kind());
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -53,7 +53,7 @@
 		this.table.addresses(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.1:1"));
 
 		assertThat(this.table.routerCount(0)).isEqualTo(3);
-		assertThat(this.table.heardLately(0)).isZero();
+		assertThat(this.table.activeCount(0)).isZero();
 	}
 
 	@Test
