--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
@@ -299,7 +299,8 @@
 			boolean urgent = suspicion != null && suspicion.unanswered < LOST_AFTER;
 			Long askedMs = EngineWatch.this.askedAtMs.get(upstream.incarnation());
 			boolean askedLately = askedMs != null && nowMs - askedMs < (urgent ? SUSPECT_PAUSE_MS : ASK_PAUSE_MS);
-			if (askedLately || !EngineWatch.this.budget.take(nowMs, EngineWatch.this.router.peers().routerCount(nowMs))) {
+			if (askedLately
+					|| !EngineWatch.this.budget.take(nowMs, EngineWatch.this.router.peers().routerCount(nowMs))) {
 				return;
 			}
 			EngineWatch.this.askedAtMs.put(upstream.incarnation(), nowMs);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListReader.java
@@ -15,8 +15,8 @@
  * <p>
  * A wait brings changes at once and proves nothing while it is open: it may have been
  * lost on a connection that went silent. A look is answered at once and proves the list,
- * for this router and for those that hear of it. {@link ListWatchRotation} says who waits and
- * who looks when.
+ * for this router and for those that hear of it. {@link ListWatchRotation} says who waits
+ * and who looks when.
  * <p>
  * Invariants: at most one list or look and at most one wait are under way; each answer is
  * dated by its question. Confined to the event loop.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
@@ -3,54 +3,57 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which routers wait at the store for changes of the list of upstreams, and when each of
- * them looks whether its list is still the newest.
+ * Decides which routers watch the store for changes of the list of upstreams, and when
+ * each router polls the store to confirm that its list is still the newest.
  * <p>
- * The load it answers: engines come, go and load layers all the time, and each change
- * ends the watch of everybody who waits for it. With all of a large fleet waiting, the
- * calls grow with routers times changes; a few that wait and tell the others bring the
- * same news sooner.
+ * Load pattern: engines start, stop and load layers all the time, and each change
+ * completes the watch of every router that watches. If all routers of a large fleet did,
+ * the number of calls would grow with routers times changes. A few watchers that notify
+ * their peers distribute the same updates sooner.
  * <p>
- * A router that isn't told in time that its list is still the newest looks for itself, so
- * that losing all who waited, or being cut off from them, delays news but never loses it.
- * Those that wait look sooner, and tell the others before those do. Confined to one
- * thread.
+ * A router polls the store itself if no peer confirms its list in time. Losing all
+ * watchers, or being cut off from them, therefore delays an update but never loses it.
+ * Watchers poll sooner than the rest, so that their confirmation reaches the others
+ * before these poll. Confined to one thread.
  */
 final class ListWatchRotation {
 
 	/**
-	 * How many routers wait on average: some of them may be dead, frozen or on a
-	 * connection that went silent without their noticing.
+	 * The average number of watchers. More than one, since some may be dead, frozen or on
+	 * a connection that stalled without their noticing.
 	 */
-	private static final int WANTED = 4;
+	private static final int TARGET_WATCHERS = 4;
 
 	/**
-	 * After which part of the time for which a leaving upstream still serves a list that
-	 * nobody has confirmed is looked after: the rest is for the call itself and for a
-	 * store that is slow.
+	 * Ratio of the drain time (for which a leaving upstream still serves) after which a
+	 * router polls the store for a list that nobody has confirmed. The rest of the drain
+	 * time is left for the call itself and for a slow store.
 	 */
-	private static final double STALE_PART = 0.4;
+	private static final double STALE_RATIO = 0.4;
 
-	/** What is added by chance, as a part of the same time, so that few begin at once. */
-	private static final double SPREAD_PART = 0.1;
+	/** Random jitter as a ratio of the drain time, so that few routers poll at once. */
+	private static final double JITTER_RATIO = 0.1;
 
 	/**
-	 * The same for routers that wait at the store. All routers of a fleet are proved by
-	 * the same look and grow old together.
+	 * The counterpart of {@link #STALE_RATIO} for watchers. The same poll confirms the
+	 * lists of all routers of a fleet, which therefore become stale together.
 	 */
-	private static final double FORERUNNER_STALE_PART = 0.2;
+	private static final double WATCHER_STALE_RATIO = 0.2;
 
-	/** What is added for these: long enough for the first proof to reach the others. */
-	private static final double FORERUNNER_SPREAD_PART = 0.2;
+	/**
+	 * Jitter of watchers: long enough for the first confirmation to reach the other
+	 * routers.
+	 */
+	private static final double WATCHER_JITTER_RATIO = 0.2;
 
 	private final long drainMs;
 
 	private final RandomGenerator random;
 
 	/**
-	 * A rota.
-	 * @param drainMs how long an upstream that leaves still serves, in milliseconds
-	 * @param random the source of chance
+	 * Creates a rotation.
+	 * @param drainMs how long a leaving upstream still serves, in milliseconds
+	 * @param random the source of randomness
 	 */
 	ListWatchRotation(long drainMs, RandomGenerator random) {
 		this.drainMs = drainMs;
@@ -58,39 +61,41 @@
 	}
 
 	/**
-	 * Whether a fleet has routers that don't wait at the store.
-	 * @param routers how many routers there are
-	 * @return {@code false} where running ahead of the others would only mean to call
-	 * twice as often
+	 * Returns whether a fleet has routers that do not watch the store.
+	 * @param routers the number of routers in the fleet
+	 * @return {@code false} where polling sooner than the others would only double the
+	 * number of calls
 	 */
 	static boolean leavesFollowers(int routers) {
-		return routers > WANTED;
+		return routers > TARGET_WATCHERS;
 	}
 
 	/**
-	 * What a router does that has just heard from the store.
-	 * @param others how many others wait at the store, as far as is known
-	 * @return whether it waits there
+	 * Decides whether a router that has just received a reply of the store watches it
+	 * from now on.
+	 * @param others the estimated number of other watchers
+	 * @return whether the router watches the store
 	 */
 	boolean shouldWatch(double others) {
-		return this.random.nextDouble() * (1 + others) < WANTED;
+		return this.random.nextDouble() * (1 + others) < TARGET_WATCHERS;
 	}
 
 	/**
-	 * When a router looks whether its list is still the newest.
-	 * @param ageMs how long ago its list was the newest for certain, in milliseconds
-	 * @param waits whether it waits at the store
-	 * @return after how many milliseconds it has to think again; 0 where it has to look
-	 * now
+	 * Returns the delay until a router polls the store to confirm its list.
+	 * @param ageMs the time since the list was last confirmed as the newest, in
+	 * milliseconds
+	 * @param watches whether the router watches the store
+	 * @return the delay in milliseconds after which to call this method again; 0 where
+	 * the poll is due
 	 */
-	long pollDelayMs(long ageMs, boolean waits) {
-		long staleMs = part(waits ? FORERUNNER_STALE_PART : STALE_PART);
-		long spreadMs = part(waits ? FORERUNNER_SPREAD_PART : SPREAD_PART);
-		return (ageMs >= staleMs) ? 0 : staleMs - ageMs + this.random.nextLong(spreadMs);
+	long pollDelayMs(long ageMs, boolean watches) {
+		long staleMs = ofDrainMs(watches ? WATCHER_STALE_RATIO : STALE_RATIO);
+		long jitterMs = ofDrainMs(watches ? WATCHER_JITTER_RATIO : JITTER_RATIO);
+		return (ageMs >= staleMs) ? 0 : staleMs - ageMs + this.random.nextLong(jitterMs);
 	}
 
-	private long part(double part) {
-		return Math.max(1, (long) (part * this.drainMs));
+	private long ofDrainMs(double ratio) {
+		return Math.max(1, (long) (ratio * this.drainMs));
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerCodec.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerCodec.java
@@ -23,8 +23,8 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 
 /**
- * Writes and reads {@link PeerMessage} as Thrift. Confined to one thread: the library
- * reuses its buffers.
+ * Encodes and decodes {@link PeerMessage} in Thrift's compact protocol. Confined to one
+ * thread, since the Thrift library reuses its buffers.
  */
 final class PeerCodec {
 
@@ -38,7 +38,7 @@
 			this.deserializer = new TDeserializer(new TCompactProtocol.Factory());
 		}
 		catch (TException ex) {
-			throw new IllegalStateException("Thrift can't be used", ex);
+			throw new IllegalStateException("cannot initialize the Thrift compact protocol", ex);
 		}
 	}
 
@@ -56,7 +56,7 @@
 			return this.serializer.serialize(encoded);
 		}
 		catch (TException ex) {
-			throw new IllegalStateException("a message can't be written", ex);
+			throw new IllegalStateException("cannot encode peer message", ex);
 		}
 	}
 
@@ -101,9 +101,9 @@
 	}
 
 	/**
-	 * Reads a datagram.
-	 * @param bytes its content
-	 * @return the message, or empty where it is none
+	 * Decodes a datagram.
+	 * @param bytes the content of the datagram
+	 * @return the message, or empty where the content is invalid
 	 */
 	Optional<PeerMessage> decode(byte[] bytes) {
 		RouterMessage message = new RouterMessage();
@@ -128,10 +128,10 @@
 		return message.isSetChangesAnswer() ? decoded(message.getChangesAnswer()) : Optional.empty();
 	}
 
-	private static PeerMessage decoded(UpstreamLimitWords words) {
-		return new PeerMessage.Limits(words.getWords()
+	private static PeerMessage decoded(UpstreamLimitWords encoded) {
+		return new PeerMessage.Limits(encoded.getWords()
 			.stream()
-			.map((word) -> new NamedLimit(word.getUpstream(), word.getPerSecond(), word.getAgeMs()))
+			.map((limit) -> new NamedLimit(limit.getUpstream(), limit.getPerSecond(), limit.getAgeMs()))
 			.toList());
 	}
 
@@ -151,7 +151,8 @@
 		return new PeerMessage.ChangesQuestion(new StoreVersion(question.getEra(), question.getAfterRevision()));
 	}
 
-	// Whoever reaches the port can write to it: what is no address is never sent to.
+	// Any sender that reaches the port can send a status. One with an invalid address is
+	// discarded, so that nothing is ever sent to that address.
 	private static Optional<PeerMessage> decoded(RouterStatus status) {
 		if (!Addresses.valid(status.getAddress()) || !allValid(status.getRouters())) {
 			return Optional.empty();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConfigurationHandler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConfigurationHandler.java
@@ -14,16 +14,16 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Hands the configuration in force to other routers, with the age of its proof. Confined
- * to the event loop.
+ * Serves the configuration in force to peers, with the age of its proof. Confined to the
+ * event loop.
  */
 @Sharable
 public final class PeerConfigurationHandler extends SimpleChannelInboundHandler<HttpRequest> {
 
-	/** The path of the configuration. */
+	/** Path of the configuration. */
 	public static final String PATH = "/configuration";
 
-	/** The header with the age of the proof, in milliseconds. */
+	/** Header with the age of the proof, in milliseconds. */
 	public static final String PROOF_AGE_MS = "whin-proof-age-ms";
 
 	private final Supplier<ConfigurationDocument> document;
@@ -37,11 +37,11 @@
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext context, HttpRequest request) {
-		ConfigurationDocument held = this.document.get();
-		boolean found = held != null && request.uri().equals(PATH);
+		ConfigurationDocument current = this.document.get();
+		boolean found = current != null && request.uri().equals(PATH);
 		DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 				found ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND,
-				found ? Unpooled.wrappedBuffer(held.text()) : Unpooled.EMPTY_BUFFER);
+				found ? Unpooled.wrappedBuffer(current.text()) : Unpooled.EMPTY_BUFFER);
 		response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
 		response.headers().set(PROOF_AGE_MS, Long.toString(this.proofAgeMs.getAsLong()));
 		context.writeAndFlush(response);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerLink.java
@@ -21,28 +21,29 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * Asks other routers by datagrams, a few each period, and answers theirs. A lost one is
- * made good by the next. Confined to the event loop.
+ * Queries the status of a few peers each period by datagrams, and answers their queries.
+ * A lost datagram is compensated by the next one. Confined to the event loop.
  */
 final class PeerLink {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/**
-	 * The pause between questions, in milliseconds: several in the time of a suspicion.
+	 * The interval between status queries, in milliseconds: several fit into the time for
+	 * which a suspicion lasts.
 	 */
 	static final long PERIOD_MS = 250;
 
-	/** Routers asked each period; the load of one does not grow with the fleet. */
+	/** Peers queried each period; the load of a router does not grow with the fleet. */
 	static final int FANOUT = 3;
 
 	/**
-	 * The largest message, in bytes: what is longer is cut by the channel and can't be
-	 * read. A message names {@link RecentChanges#MOST_TOLD} upstreams at most.
+	 * The largest message, in bytes. The channel truncates longer ones, which can't be
+	 * decoded. A message names at most {@link RecentChanges#MOST_TOLD} upstreams.
 	 */
-	private static final int MOST_DATAGRAM_BYTES = 16_384;
+	private static final int MAX_DATAGRAM_BYTES = 16_384;
 
-	/** Routers told at once of something urgent. */
+	/** Peers to which an urgent status is sent at once. */
 	private static final int URGENT_FANOUT = 12;
 
 	private final EventLoop loop;
@@ -58,10 +59,10 @@
 	private Channel channel;
 
 	/**
-	 * A link.
+	 * Creates a link that is not started yet.
 	 * @param router the clocks
-	 * @param table whom to ask
-	 * @param handler what this router says, and what it does with what others said
+	 * @param table chooses the peers to query
+	 * @param handler builds this router's messages and processes those of peers
 	 */
 	PeerLink(RouterContext router, PeerTable table, Handler handler) {
 		this.router = router;
@@ -71,88 +72,88 @@
 	}
 
 	/**
-	 * Starts to listen and to ask.
-	 * @param address where to listen
+	 * Starts to listen and to query peers.
+	 * @param address the address to listen on
 	 * @return the channel, which the caller closes
 	 */
 	Channel start(InetSocketAddress address) {
 		this.channel = new Bootstrap().group(this.loop)
 			.channel(NioDatagramChannel.class)
-			.option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM_BYTES))
+			.option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
 			.handler(new SimpleChannelInboundHandler<DatagramPacket>() {
 
 				@Override
 				protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-					take(packet);
+					receive(packet);
 				}
 
 				@Override
 				public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-					// Datagrams to a port that nobody listens on come back as errors; the
-					// table notices the silence.
+					// A datagram to a port without a listener is reported as an error.
+					// The table detects the silent peer.
 					logger.atFine().withCause(cause).log("event=datagram-failed");
 				}
 
 			})
 			.bind(address)
 			.channel();
-		this.loop.scheduleAtFixedRate(this::askSome, PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
+		this.loop.scheduleAtFixedRate(this::queryActive, PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
 		return this.channel;
 	}
 
-	/** Asks many at once, because what this router has to say can't wait. */
+	/** Sends the status to many peers at once, since it contains an urgent change. */
 	void sendStatusNow() {
-		ask(this.table.targets(URGENT_FANOUT, this.router.nowMs()));
+		query(this.table.targets(URGENT_FANOUT, this.router.nowMs()));
 	}
 
 	/**
-	 * Asks many routers that weren't heard yet.
-	 * @return how many
+	 * Queries many peers from which no status was received lately.
+	 * @return the number of peers queried
 	 */
 	int querySilentPeers() {
 		List<String> targets = this.table.silent(URGENT_FANOUT, this.router.nowMs());
-		ask(targets);
+		query(targets);
 		return targets.size();
 	}
 
-	private void askSome() {
-		ask(this.table.targets(FANOUT, this.router.nowMs()));
+	private void queryActive() {
+		query(this.table.targets(FANOUT, this.router.nowMs()));
 	}
 
-	private void ask(List<String> targets) {
+	private void query(List<String> targets) {
 		if (targets.isEmpty()) {
 			return;
 		}
 		List<byte[]> messages = new ArrayList<>();
-		messages.add(this.codec.encode(this.handler.status(this.table.ask(this.router.bootMs()), false)));
-		addNews(messages);
+		messages.add(this.codec.encode(this.handler.status(this.table.startQuery(this.router.bootMs()), false)));
+		addPendingReports(messages);
 		for (String target : targets) {
 			InetSocketAddress address = Addresses.parse(target);
 			messages.forEach((message) -> send(message, address));
 		}
 	}
 
-	private void answer(long sequence, InetSocketAddress asker) {
+	private void answer(long sequence, InetSocketAddress sender) {
 		List<byte[]> messages = new ArrayList<>();
 		messages.add(this.codec.encode(this.handler.status(sequence, true)));
-		addNews(messages);
-		messages.forEach((message) -> send(message, asker));
+		addPendingReports(messages);
+		messages.forEach((message) -> send(message, sender));
 	}
 
-	private void addNews(List<byte[]> messages) {
-		this.handler.news().forEach((news) -> messages.add(this.codec.encode(news)));
+	private void addPendingReports(List<byte[]> messages) {
+		this.handler.pendingReports().forEach((report) -> messages.add(this.codec.encode(report)));
 	}
 
 	/**
-	 * Asks a router for changes of the list of upstreams.
-	 * @param address where it takes messages
+	 * Requests the changes of the list of upstreams from a peer.
+	 * @param address the address at which the peer receives messages
 	 * @param after the version that this router has
 	 */
 	void requestChanges(String address, StoreVersion after) {
 		send(this.codec.encode(new PeerMessage.ChangesQuestion(after)), Addresses.parse(address));
 	}
 
-	private void take(DatagramPacket packet) {
+	private void receive(DatagramPacket packet) {
 		Optional<PeerMessage> message = this.codec.decode(ByteBufUtil.getBytes(packet.content()));
 		if (message.isEmpty()) {
 			logger.atWarning().log("event=datagram-unreadable from=%s", packet.sender());
@@ -160,7 +161,7 @@
 		}
 		switch (message.get()) {
 			case PeerStatus status -> {
-				this.handler.heard(status);
+				this.handler.onStatus(status);
 				if (!status.answer()) {
 					answer(status.sequence(), packet.sender());
 				}
@@ -168,9 +169,9 @@
 			case PeerMessage.ChangesQuestion question ->
 				send(this.codec.encode(new PeerMessage.ChangesAnswer(this.handler.changesAfter(question.after()))),
 						packet.sender());
-			case PeerMessage.ChangesAnswer answer -> this.handler.told(answer.changes());
-			case PeerMessage.CrashReports reports -> this.handler.heard(reports);
-			case PeerMessage.Limits limits -> this.handler.heard(limits);
+			case PeerMessage.ChangesAnswer answer -> this.handler.onChanges(answer.changes());
+			case PeerMessage.CrashReports reports -> this.handler.onCrashReports(reports);
+			case PeerMessage.Limits limits -> this.handler.onLimits(limits);
 		}
 	}
 
@@ -178,53 +179,53 @@
 		this.channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), target));
 	}
 
-	/** What this router says, and what it does with what others said. */
+	/** Builds this router's messages and processes those of peers. */
 	interface Handler {
 
 		/**
-		 * Makes this router's status.
-		 * @param sequence the question's number
-		 * @param answer whether it answers one
+		 * Builds this router's status.
+		 * @param sequence the number of the query
+		 * @param answer whether the status answers a query
 		 * @return the status
 		 */
 		PeerStatus status(long sequence, boolean answer);
 
 		/**
-		 * Takes what another router said of itself.
-		 * @param status what it said
+		 * Processes the status of a peer.
+		 * @param status the status that was received
 		 */
-		void heard(PeerStatus status);
+		void onStatus(PeerStatus status);
 
 		/**
-		 * What changed in the list of upstreams.
-		 * @param after the version that the asking router has
-		 * @return the changes, where they are known
+		 * Returns the changes of the list of upstreams.
+		 * @param after the version that the requesting peer has
+		 * @return the changes, where this router has them
 		 */
 		UpstreamChanges changesAfter(StoreVersion after);
 
 		/**
-		 * Takes what another router says has changed.
+		 * Processes changes of the list of upstreams that a peer sent.
 		 * @param changes the changes
 		 */
-		void told(UpstreamChanges changes);
+		void onChanges(UpstreamChanges changes);
 
 		/**
-		 * What there is seldom anything to tell of; each is a message of its own.
-		 * @return the messages; none nearly always
+		 * Returns reports that are seldom needed; each is sent as a message of its own.
+		 * @return the messages; nearly always none
 		 */
-		List<PeerMessage> news();
+		List<PeerMessage> pendingReports();
 
 		/**
-		 * Takes what another router says of requests under which upstreams ended.
-		 * @param reports what it knows
+		 * Processes a peer's reports of requests during which upstreams crashed.
+		 * @param reports the reports
 		 */
-		void heard(PeerMessage.CrashReports reports);
+		void onCrashReports(PeerMessage.CrashReports reports);
 
 		/**
-		 * Takes what another router says of limits that upstreams name.
-		 * @param limits what it has heard
+		 * Processes request limits of upstreams that a peer reports.
+		 * @param limits the limits
 		 */
-		void heard(PeerMessage.Limits limits);
+		void onLimits(PeerMessage.Limits limits);
 
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessage.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessage.java
@@ -6,32 +6,33 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * What a datagram from one router to another says. Immutable.
+ * Content of a datagram between routers. Immutable.
  */
 sealed interface PeerMessage permits PeerStatus, PeerMessage.ChangesQuestion, PeerMessage.ChangesAnswer,
 		PeerMessage.CrashReports, PeerMessage.Limits {
 
 	/**
-	 * Asks for what changed in the list of upstreams.
+	 * Requests the changes of the list of upstreams.
 	 *
-	 * @param after the version that the asking router has
+	 * @param after the version that the requesting router has
 	 */
 	record ChangesQuestion(StoreVersion after) implements PeerMessage {
 	}
 
 	/**
-	 * What changed, or that it has to be read from the store.
+	 * Answers a {@link ChangesQuestion} with the changes, or states that the list has to
+	 * be read from the store.
 	 *
-	 * @param changes the changes; without any, and with no later revision, where they are
-	 * not known or too many to be told
+	 * @param changes the changes; without any, and with no later revision, where the
+	 * sender does not have them or they are too many for one message
 	 */
 	record ChangesAnswer(UpstreamChanges changes) implements PeerMessage {
 	}
 
 	/**
-	 * Limits that upstreams name.
+	 * Reports the request limits that upstreams announce.
 	 *
-	 * @param limits the latest word on each upstream, as far as the sender has heard
+	 * @param limits the latest limit of each upstream that the sender has received
 	 */
 	record Limits(List<NamedLimit> limits) implements PeerMessage {
 
@@ -42,9 +43,9 @@
 	}
 
 	/**
-	 * Requests under which upstreams ended.
+	 * Reports the requests during which upstreams crashed.
 	 *
-	 * @param histories what the sender knows of each
+	 * @param histories the sender's crash history of each request
 	 */
 	record CrashReports(List<CrashHistory> histories) implements PeerMessage {
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
@@ -7,8 +7,8 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * This router's side of what routers say to each other: what it tells of itself, and who
- * hears of what others tell. Decides nothing. Confined to the event loop.
+ * Builds this router's own messages and dispatches those of peers to the components that
+ * process them. Makes no decisions of its own. Confined to the event loop.
  */
 final class PeerMessageHandler implements PeerLink.Handler {
 
@@ -29,13 +29,13 @@
 	private final ToldLoad load;
 
 	/**
-	 * A side.
-	 * @param router the clocks, the directory and the other routers
+	 * Creates a handler.
+	 * @param router the clocks, the directory and the peers
 	 * @param settings this router's name and address
-	 * @param configurationKeeper knows the configuration in force
-	 * @param directoryKeeper knows the list of upstreams
-	 * @param layerKeeper knows which engines are slow, while this router leads
-	 * @param leadership whether it does
+	 * @param configurationKeeper holds the configuration in force
+	 * @param directoryKeeper holds the list of upstreams
+	 * @param layerKeeper tracks slow engines while this router leads
+	 * @param leadership whether this router leads
 	 * @param era the era of the store
 	 */
 	PeerMessageHandler(RouterContext router, RouterSettings settings, ConfigurationKeeper configurationKeeper,
@@ -58,13 +58,13 @@
 		return new PeerStatus(this.settings.name(), Addresses.text(this.settings.peers()),
 				this.settings.failureDomain(), sequence, answer, version,
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
-				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
+				this.load.tokenLayers(nowMs), this.router.peers().advertisedAddresses(nowMs), this.router.stopping(),
 				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
 				this.directoryKeeper.state(), this.era.current(), this.configurationKeeper.returnAgeMs());
 	}
 
 	@Override
-	public void heard(PeerStatus status) {
+	public void onStatus(PeerStatus status) {
 		PeerTable peers = this.router.peers();
 		this.era.heard(status.storeEra());
 		if (status.storeEra() == this.era.current()) {
@@ -82,31 +82,31 @@
 	}
 
 	@Override
-	public void told(UpstreamChanges changes) {
+	public void onChanges(UpstreamChanges changes) {
 		this.directoryKeeper.told(changes);
 	}
 
 	@Override
-	public List<PeerMessage> news() {
-		List<PeerMessage> news = new ArrayList<>();
+	public List<PeerMessage> pendingReports() {
+		List<PeerMessage> reports = new ArrayList<>();
 		List<CrashHistory> crashes = this.router.crashGuard().told();
 		if (!crashes.isEmpty()) {
-			news.add(new PeerMessage.CrashReports(crashes));
+			reports.add(new PeerMessage.CrashReports(crashes));
 		}
 		List<NamedLimit> limits = this.router.limits().told();
 		if (!limits.isEmpty()) {
-			news.add(new PeerMessage.Limits(limits));
+			reports.add(new PeerMessage.Limits(limits));
 		}
-		return news;
+		return reports;
 	}
 
 	@Override
-	public void heard(PeerMessage.CrashReports reports) {
+	public void onCrashReports(PeerMessage.CrashReports reports) {
 		this.router.crashGuard().heard(reports.histories());
 	}
 
 	@Override
-	public void heard(PeerMessage.Limits limits) {
+	public void onLimits(PeerMessage.Limits limits) {
 		this.router.limits().heard(limits.limits());
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerStatus.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerStatus.java
@@ -4,30 +4,32 @@
 import java.util.Map;
 
 /**
- * What a router tells another. Immutable.
+ * Status that a router sends to its peers. Immutable.
  *
- * @param name the sender
- * @param address {@code IP:PORT} that it takes these messages at
- * @param failureDomain where it is
- * @param sequence names the question; the answer repeats it
- * @param answer whether it answers a question
- * @param version the configuration in force there; -1 before the first
- * @param proofAgeMs the age of its newest proof when it wrote this, in milliseconds; -1
- * where it has none
- * @param suspects incarnations of engines that don't answer it
- * @param tokenLayersByEngine memory of its requests in progress, in tokens times layers,
- * by the engine's incarnation
- * @param routers addresses of other routers that it has heard of lately
- * @param leaving whether it is about to stop
- * @param paceByEngine how many times slower than usual engines work, by incarnation
- * @param leading whether it holds the lease under which layers are ordered
- * @param leaderAgeMs the age of the newest word from whoever holds that lease, in
- * milliseconds; -1 where none was heard
- * @param list how it knows the list of upstreams
- * @param storeEra the era of the platform's store, as far as it has heard; 0 where the
- * store says none
- * @param storeReturnAgeMs how long ago it heard that the store has come back from an
- * older copy, in milliseconds; -1 where it didn't, or long ago
+ * @param name the sender's name
+ * @param address {@code IP:PORT} at which the sender receives peer messages
+ * @param failureDomain the sender's failure domain
+ * @param sequence the number of the status query; the answer repeats it
+ * @param answer whether this status answers a query
+ * @param version the configuration in force at the sender; -1 before the first
+ * @param proofAgeMs the age of the sender's newest proof when it wrote this status, in
+ * milliseconds; -1 where it has none
+ * @param suspects incarnations of engines that do not answer the sender
+ * @param tokenLayersByEngine memory of the sender's requests in progress, in tokens times
+ * layers, by the engine's incarnation
+ * @param routers addresses of other routers from which the sender received a status
+ * lately
+ * @param leaving whether the sender is about to stop
+ * @param paceByEngine slowdown of engines as a multiple of their usual time, by
+ * incarnation
+ * @param leading whether the sender holds the lease under which layers are ordered
+ * @param leaderAgeMs the age of the newest status from the holder of that lease, in
+ * milliseconds; -1 where none was received
+ * @param list version and age of the sender's list of upstreams
+ * @param storeEra the last known era of the platform's store; 0 where the store reports
+ * none
+ * @param storeReturnAgeMs how long ago the sender learned that the store was restored
+ * from an older copy, in milliseconds; -1 where it was not, or long ago
  */
 record PeerStatus(String name, String address, String failureDomain, long sequence, boolean answer, long version,
 		long proofAgeMs, List<String> suspects, Map<String, Long> tokenLayersByEngine, List<String> routers,
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -8,42 +8,48 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The other routers: who is there, what they said last, and whom to ask next.
+ * Table of the peers: which ones exist, the last status of each, and which to query next.
  * <p>
- * The failures it is there for: a router that is cut off from the store can still prove
- * its configuration through another one; routers that count only their own requests
- * overfill an engine that they share; and each of them finds a dead engine anew. Its
- * proof is safe by order alone, without common clocks: the other one wrote its answer
- * after it was asked, so a proof that was {@code age} old then is at most that much older
- * than the question.
+ * The exchange prevents three failures: a router that is cut off from the store loses the
+ * proof of its configuration, although a peer can supply one; routers that count only
+ * their own requests overload an engine that they share; and each router has to detect a
+ * dead engine anew. A proof obtained through a peer is safe by order alone, without
+ * synchronized clocks: the peer wrote its answer after the query was sent, so a proof
+ * with the reported {@code age} dates from the time of the query minus {@code age} at the
+ * earliest.
  * <p>
- * Not safe for threads: confined to the event loop.
+ * Not thread-safe: confined to the event loop.
  */
 final class PeerTable {
 
-	/** A router that was not heard for this long is taken for gone, in milliseconds. */
+	/**
+	 * Time without a status after which a peer is considered silent, in milliseconds.
+	 */
 	static final long SILENT_MS = 1500;
 
 	/**
-	 * A router that was not heard for this long leaves its place to another, in
-	 * milliseconds: of a large fleet each is heard every few seconds.
+	 * Time without a status after which a peer loses its place to another, in
+	 * milliseconds. In a large fleet a status of each peer arrives every few seconds.
 	 */
-	private static final long THERE_MS = 20_000;
+	private static final long PLACE_TIMEOUT_MS = 20_000;
 
-	/** Routers are remembered this long for shares that must not grow by a cut. */
-	private static final long REMEMBERED_MS = 60_000;
+	/**
+	 * Time without a status after which a peer is forgotten, in milliseconds. Until then
+	 * it counts for shares, which must not grow while a router is cut off from its peers.
+	 */
+	private static final long RETENTION_MS = 60_000;
 
 	/**
-	 * How many routers one can hear before they count as silent, by its own questions and
-	 * others' to it.
+	 * The number of peers from which a router receives a status before they count as
+	 * silent: answers to its own queries and the queries of peers.
 	 */
-	private static final double MOST_HEARD = 2.0 * PeerLink.FANOUT * SILENT_MS / PeerLink.PERIOD_MS;
+	private static final double MAX_ACTIVE_PEERS = 2.0 * PeerLink.FANOUT * SILENT_MS / PeerLink.PERIOD_MS;
 
-	/** A silent router is asked in one period of this many. */
-	private static final int SILENT_ASKED_EACH = 4;
+	/** A silent peer is queried on average in one out of this number of periods. */
+	private static final int SILENT_QUERY_PERIODS = 4;
 
-	/** Bounds a message whatever the fleet's size. */
-	private static final int MOST_ROUTERS_TOLD = 8;
+	/** Bounds the size of a status regardless of the size of the fleet. */
+	private static final int MAX_ADVERTISED_PEERS = 8;
 
 	private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
@@ -53,21 +59,21 @@
 
 	private final Map<String, Peer> byAddress = new HashMap<>();
 
-	private final HeardRouters heard = new HeardRouters(SILENT_MS);
+	private final ActivePeers active = new ActivePeers(SILENT_MS);
 
-	/** When questions were asked, by their numbers; the oldest in front. */
-	private final LinkedHashMap<Long, Long> askedAtMs = new LinkedHashMap<>();
+	/** Times at which queries were sent, by their numbers; oldest first. */
+	private final LinkedHashMap<Long, Long> sentAtMs = new LinkedHashMap<>();
 
 	private long sequence;
 
-	private long leaderHeardAtMs = NEVER_MS;
+	private long leaderSeenAtMs = NEVER_MS;
 
 	private long leaderLeftAtMs = NEVER_MS;
 
 	/**
-	 * A table.
-	 * @param self this router's own address, which is never asked
-	 * @param random the source of chance
+	 * Creates a table without peers.
+	 * @param self this router's own address, which is never queried
+	 * @param random the source of randomness
 	 */
 	PeerTable(String self, RandomGenerator random) {
 		this.self = self;
@@ -75,8 +81,8 @@
 	}
 
 	/**
-	 * Hears of addresses.
-	 * @param addresses where routers may be
+	 * Adds addresses of possible peers.
+	 * @param addresses the addresses; this router's own is ignored
 	 */
 	void addresses(List<String> addresses) {
 		for (String address : addresses) {
@@ -87,22 +93,22 @@
 	}
 
 	/**
-	 * Begins a question.
+	 * Registers a status query that is about to be sent.
 	 * @param bootMs the time, on the clock of proofs
-	 * @return the question's number
+	 * @return the number of the query
 	 */
-	long ask(long bootMs) {
+	long startQuery(long bootMs) {
 		this.sequence++;
-		this.askedAtMs.put(this.sequence, bootMs);
-		while (bootMs - this.askedAtMs.firstEntry().getValue() > REMEMBERED_MS) {
-			this.askedAtMs.pollFirstEntry();
+		this.sentAtMs.put(this.sequence, bootMs);
+		while (bootMs - this.sentAtMs.firstEntry().getValue() > RETENTION_MS) {
+			this.sentAtMs.pollFirstEntry();
 		}
 		return this.sequence;
 	}
 
 	/**
-	 * Takes what another router said.
-	 * @param status what it said
+	 * Records the status of a peer.
+	 * @param status the status that was received
 	 * @param nowMs the time
 	 */
 	void update(PeerStatus status, long nowMs) {
@@ -111,14 +117,14 @@
 		}
 		Peer peer = this.byAddress.computeIfAbsent(status.address(), (ignored) -> new Peer());
 		peer.status = status;
-		peer.heardAtMs = nowMs;
-		this.heard.heard(status, nowMs);
-		hearOfLeader(status, nowMs);
+		peer.receivedAtMs = nowMs;
+		this.active.update(status, nowMs);
+		updateLeader(status, nowMs);
 		addresses(status.routers());
 	}
 
 	/**
-	 * When the proof in an answer holds.
+	 * Returns the time for which the proof in an answer holds.
 	 * @param status the answer
 	 * @return the time on the clock of proofs, or {@link Long#MIN_VALUE} where it proves
 	 * nothing
@@ -128,7 +134,8 @@
 	}
 
 	/**
-	 * When another router's list of upstreams was the newest for certain, by its answer.
+	 * Returns the time at which a peer's list of upstreams was certainly the newest,
+	 * according to its answer.
 	 * @param status the answer
 	 * @return the time on the clock of proofs, or {@link Long#MIN_VALUE} where it proves
 	 * nothing
@@ -138,42 +145,42 @@
 	}
 
 	private long heldAtMs(PeerStatus status, long ageMs) {
-		Long askedMs = status.answer() ? this.askedAtMs.get(status.sequence()) : null;
-		return (askedMs == null || ageMs < 0) ? Long.MIN_VALUE : askedMs - ageMs;
+		Long sentMs = status.answer() ? this.sentAtMs.get(status.sequence()) : null;
+		return (sentMs == null || ageMs < 0) ? Long.MIN_VALUE : sentMs - ageMs;
 	}
 
 	/**
-	 * Chooses whom to ask.
-	 * @param most how many at most
+	 * Chooses peers to query.
+	 * @param most the maximum number of active peers
 	 * @param nowMs the time
-	 * @return addresses; one in four of routers that are silent, so that a cut that has
-	 * healed is noticed
+	 * @return addresses of active peers, and in one period of four, or without active
+	 * peers, that of a silent peer, so that the end of a network partition is detected
 	 */
 	List<String> targets(int most, long nowMs) {
-		List<String> heard = this.heard.addresses(nowMs);
+		List<String> active = this.active.addresses(nowMs);
 		List<String> targets = new ArrayList<>(most + 1);
-		while (targets.size() < most && !heard.isEmpty()) {
-			targets.add(takeAny(heard));
+		while (targets.size() < most && !active.isEmpty()) {
+			targets.add(removeRandom(active));
 		}
-		if (targets.isEmpty() || this.random.nextInt(SILENT_ASKED_EACH) == 0) {
+		if (targets.isEmpty() || this.random.nextInt(SILENT_QUERY_PERIODS) == 0) {
 			List<String> silent = silent(nowMs);
 			if (!silent.isEmpty()) {
-				targets.add(takeAny(silent));
+				targets.add(removeRandom(silent));
 			}
 		}
 		return targets;
 	}
 
-	// The last one takes the place of the one that is taken, so that nothing is moved.
-	private String takeAny(List<String> addresses) {
+	// Replaces the removed element by the last one, so that no elements are shifted.
+	private String removeRandom(List<String> addresses) {
 		String last = addresses.removeLast();
 		int index = this.random.nextInt(addresses.size() + 1);
 		return (index == addresses.size()) ? last : addresses.set(index, last);
 	}
 
 	/**
-	 * Chooses routers that were not heard lately.
-	 * @param most how many at most
+	 * Chooses peers at random from which no status was received lately.
+	 * @param most the maximum number of peers
 	 * @param nowMs the time
 	 * @return addresses
 	 */
@@ -181,7 +188,7 @@
 		List<String> silent = silent(nowMs);
 		List<String> chosen = new ArrayList<>(most);
 		while (chosen.size() < most && !silent.isEmpty()) {
-			chosen.add(takeAny(silent));
+			chosen.add(removeRandom(silent));
 		}
 		return chosen;
 	}
@@ -189,7 +196,7 @@
 	private List<String> silent(long nowMs) {
 		List<String> silent = new ArrayList<>();
 		for (String address : this.byAddress.keySet()) {
-			if (!this.heard.contains(address, nowMs)) {
+			if (!this.active.contains(address, nowMs)) {
 				silent.add(address);
 			}
 		}
@@ -197,156 +204,159 @@
 	}
 
 	/**
-	 * How many routers were heard lately.
+	 * Counts the peers from which a status was received lately.
 	 * @param nowMs the time
-	 * @return the number, this one left out
+	 * @return the number, without this router
 	 */
 	int activeCount(long nowMs) {
-		return this.heard.count(nowMs);
+		return this.active.count(nowMs);
 	}
 
 	/**
-	 * The routers that a caller whom this one refuses may reach: those of the same
-	 * failure domain, or where there are no others, all. Of a large fleet only as many
-	 * count as known as can be heard in time.
+	 * Counts the peers that a caller may reach whose request this router rejects: those
+	 * of the same failure domain, or all peers where it has no others. In a large fleet
+	 * the number of known peers is scaled by the ratio of peers whose status can arrive
+	 * before they count as silent.
 	 * @param failureDomain the failure domain of this router
 	 * @param nowMs the time
-	 * @return how many are known and how many of them serve
+	 * @return the number of known peers and of those that serve
 	 */
 	ReachablePeers others(String failureDomain, long nowMs) {
 		List<Peer> known = this.byAddress.values().stream().filter((peer) -> peer.status != null).toList();
 		List<Peer> near = known.stream().filter((peer) -> peer.status.failureDomain().equals(failureDomain)).toList();
 		List<Peer> reachable = near.isEmpty() ? known : near;
 		long serving = reachable.stream().filter((peer) -> serves(peer, nowMs)).count();
-		double heard = Math.min(1, MOST_HEARD / Math.max(1, this.byAddress.size()));
-		return new ReachablePeers((int) Math.round(reachable.size() * heard), (int) serving);
+		double activeRatio = Math.min(1, MAX_ACTIVE_PEERS / Math.max(1, this.byAddress.size()));
+		return new ReachablePeers((int) Math.round(reachable.size() * activeRatio), (int) serving);
 	}
 
 	private static boolean serves(Peer peer, long nowMs) {
-		return alive(peer, nowMs) && !peer.status.leaving() && peer.status.version() >= 0
+		return active(peer, nowMs) && !peer.status.leaving() && peer.status.version() >= 0
 				&& peer.status.proofAgeMs() >= 0;
 	}
 
 	/**
-	 * Memory that other routers' requests take up at an engine.
+	 * Estimates the memory that requests of peers occupy at an engine.
 	 * <p>
-	 * The load it answers: of a large fleet, a router hears a part in the time after
-	 * which the rest counts as silent. Adding up that part alone would make an engine
-	 * look emptier than it is. Those that can't have been heard are taken for alike to
-	 * those that were.
+	 * Load pattern: in a large fleet, a router receives the status of only some peers
+	 * before the rest counts as silent. The sum over the active peers alone would make an
+	 * engine look emptier than it is. Peers whose status can't have arrived in time are
+	 * assumed to resemble the active ones.
 	 * @param engineId the engine's incarnation
 	 * @param nowMs the time
-	 * @return tokens times layers, by what they said last
+	 * @return tokens times layers, extrapolated from the last statuses
 	 */
 	long tokenLayersAt(String engineId, long nowMs) {
-		double unheard = Math.max(1, this.byAddress.size() / MOST_HEARD);
-		return (long) (this.heard.tokenLayersAt(engineId, nowMs) * unheard);
+		double scale = Math.max(1, this.byAddress.size() / MAX_ACTIVE_PEERS);
+		return (long) (this.active.tokenLayersAt(engineId, nowMs) * scale);
 	}
 
 	/**
-	 * How many other routers wait at the store for changes of the list of upstreams.
+	 * Estimates how many peers watch the store for changes of the list of upstreams.
 	 * @param nowMs the time
-	 * @return the number, known routers that weren't heard taken for alike to those that
-	 * were; 0 where none was
+	 * @return the number, where silent peers are assumed to resemble the active ones; 0
+	 * without active peers
 	 */
 	double listWatchers(long nowMs) {
-		int count = this.heard.count(nowMs);
-		return (count > 0) ? (double) this.heard.listWatchers(nowMs) * this.byAddress.size() / count : 0;
+		int count = this.active.count(nowMs);
+		return (count > 0) ? (double) this.active.listWatchers(nowMs) * this.byAddress.size() / count : 0;
 	}
 
-	private void hearOfLeader(PeerStatus status, long nowMs) {
+	private void updateLeader(PeerStatus status, long nowMs) {
 		if (status.leading() && status.leaving()) {
-			// It gives the lease up: somebody has to look for it at once, whatever is
-			// still passed on of earlier words.
+			// The leader releases the lease: another router has to acquire it at once,
+			// even if peers still relay the leader's earlier statuses.
 			this.leaderLeftAtMs = nowMs;
 		}
 		else if (status.leading()) {
-			this.leaderHeardAtMs = nowMs;
+			this.leaderSeenAtMs = nowMs;
 		}
 		else if (status.leaderAgeMs() >= 0) {
-			this.leaderHeardAtMs = Math.max(this.leaderHeardAtMs, nowMs - status.leaderAgeMs());
+			this.leaderSeenAtMs = Math.max(this.leaderSeenAtMs, nowMs - status.leaderAgeMs());
 		}
 	}
 
 	/**
-	 * The age of the newest word from whoever holds the lease.
+	 * Returns the age of the newest status from the holder of the lease.
 	 * @param nowMs the time
 	 * @return milliseconds; -1 where none is younger than {@link #SILENT_MS}
 	 */
 	long leaderAgeMs(long nowMs) {
-		return hasLeader(nowMs) ? nowMs - this.leaderHeardAtMs : -1;
+		return hasLeader(nowMs) ? nowMs - this.leaderSeenAtMs : -1;
 	}
 
 	/**
-	 * Whether another router said a moment ago that it holds the lease, or was heard to
-	 * by others.
+	 * Returns whether a peer is known to hold the lease, by its own recent status or by
+	 * one that other peers relay.
 	 * <p>
-	 * The load it answers: in the time after which one counts as silent, a router of a
-	 * large fleet hears only some others, seldom the holder itself, and would read the
-	 * lease again and again.
+	 * Load pattern: before a peer counts as silent, a router of a large fleet receives
+	 * the status of only some peers, seldom of the holder itself. Without relayed reports
+	 * it would read the lease again and again.
 	 * @param nowMs the time
-	 * @return whether nobody else needs to look for it
+	 * @return whether this router does not need to check the lease
 	 */
 	boolean hasLeader(long nowMs) {
-		return nowMs - this.leaderHeardAtMs < SILENT_MS && this.leaderHeardAtMs > this.leaderLeftAtMs;
+		return nowMs - this.leaderSeenAtMs < SILENT_MS && this.leaderSeenAtMs > this.leaderLeftAtMs;
 	}
 
 	/**
-	 * How much slower than usual an engine works, as whoever surveys them says.
-	 * @param engineId the engine's name
+	 * Returns the slowdown of an engine as reported by the peer that monitors the
+	 * engines.
+	 * @param engineId the engine's incarnation
 	 * @param nowMs the time
-	 * @return 1 where nobody says that it is slow
+	 * @return the multiple of the engine's usual time; 1 where no peer reports a slowdown
 	 */
 	double slowdownOf(String engineId, long nowMs) {
-		return this.heard.paceOf(engineId, nowMs);
+		return this.active.slowdownOf(engineId, nowMs);
 	}
 
 	/**
-	 * How many routers share what all may do: those known by address, whether heard or
-	 * not, since a router that is cut off must not take over the others' parts.
+	 * Counts the routers that share a common limit: all that are known by address,
+	 * including silent ones, since a router that is cut off must not take over the shares
+	 * of the others.
 	 * @param nowMs the time
-	 * @return the number, this one included
+	 * @return the number, including this router
 	 */
 	int routerCount(long nowMs) {
-		this.byAddress.values().removeIf((peer) -> peer.status != null && nowMs - peer.heardAtMs > REMEMBERED_MS);
+		this.byAddress.values().removeIf((peer) -> peer.status != null && nowMs - peer.receivedAtMs > RETENTION_MS);
 		return 1 + this.byAddress.size();
 	}
 
 	/**
-	 * Whether this router is the one that does what only one should do. Routers that have
-	 * heard different ones may choose two.
-	 * @param key what is to be done
+	 * Returns whether this router is responsible for a task that only one router should
+	 * perform. Routers with different sets of peers may choose two.
+	 * @param key identifies the task
 	 * @param nowMs the time
-	 * @return whether no other router that is there is nearer to the key
+	 * @return whether no other router that keeps its place is nearer to the key
 	 */
 	boolean nearestTo(long key, long nowMs) {
-		return nearer(key, nowMs) == 0;
+		return countNearer(key, nowMs) == 0;
 	}
 
-	private long nearer(long key, long nowMs) {
+	private long countNearer(long key, long nowMs) {
 		int own = distance(this.self, key);
 		return this.byAddress.entrySet()
 			.stream()
-			.filter((peer) -> there(peer.getValue(), nowMs) && distance(peer.getKey(), key) < own)
+			.filter((peer) -> keepsPlace(peer.getValue(), nowMs) && distance(peer.getKey(), key) < own)
 			.count();
 	}
 
-	private static boolean there(Peer peer, long nowMs) {
-		return peer.status != null && nowMs - peer.heardAtMs < THERE_MS;
+	private static boolean keepsPlace(Peer peer, long nowMs) {
+		return peer.status != null && nowMs - peer.receivedAtMs < PLACE_TIMEOUT_MS;
 	}
 
 	/**
-	 * This router's part of what only a few routers do. Those that are gone leave their
-	 * place to others; the part of each stays the same, so that one that hears nobody
-	 * doesn't take all.
-	 * @param key what is to be done
-	 * @param most how many routers do it at most
+	 * Returns this router's share of a task that only a few routers perform. Routers that
+	 * are gone lose their place to others. The share of each stays the same, so that a
+	 * router without active peers does not take all of it.
+	 * @param key identifies the task
+	 * @param most the maximum number of routers that perform the task
 	 * @param nowMs the time
-	 * @return the part of each of them; 0 where this one is none of them
+	 * @return the share of each of these routers; 0 where this router is not among them
 	 */
 	double shareOf(long key, int most, long nowMs) {
-		int doing = Math.min(most, routerCount(nowMs));
-		return (nearer(key, nowMs) < doing) ? 1.0 / doing : 0;
+		int performers = Math.min(most, routerCount(nowMs));
+		return (countNearer(key, nowMs) < performers) ? 1.0 / performers : 0;
 	}
 
 	private static int distance(String address, long key) {
@@ -354,33 +364,34 @@
 	}
 
 	/**
-	 * Addresses to tell others.
+	 * Returns addresses of active peers to send to other peers.
 	 * @param nowMs the time
-	 * @return some routers that were heard lately
+	 * @return the peers with the newest statuses, without those about to stop
 	 */
-	List<String> toTell(long nowMs) {
-		return this.heard.newestStaying(MOST_ROUTERS_TOLD, nowMs);
+	List<String> advertisedAddresses(long nowMs) {
+		return this.active.newestNotLeaving(MAX_ADVERTISED_PEERS, nowMs);
 	}
 
-	private static boolean alive(Peer peer, long nowMs) {
-		return peer.status != null && nowMs - peer.heardAtMs < SILENT_MS;
+	private static boolean active(Peer peer, long nowMs) {
+		return peer.status != null && nowMs - peer.receivedAtMs < SILENT_MS;
 	}
 
 	/**
-	 * Routers beside this one. Immutable.
+	 * Number of peers that a rejected caller may reach. Immutable.
 	 *
-	 * @param known how many are known
-	 * @param serving how many of them take requests, as far as was heard
+	 * @param known the number of known peers
+	 * @param serving how many of them accept requests, according to their last statuses
 	 */
 	record ReachablePeers(int known, int serving) {
 
 		/**
-		 * Whether a caller that is refused here finds one that serves.
+		 * Returns whether a caller that this router rejects reaches one that serves.
 		 * <p>
-		 * A balancer that has less than half of a failure domain's processes left sends
-		 * to all of them again, also to those that stop or are gone: with drafts refused
-		 * there too, some callers would find nobody at all.
-		 * @return whether half of all, this one included, serve
+		 * A load balancer that has less than half of the processes of a failure domain
+		 * left sends requests to all of them again, including those that are stopping or
+		 * gone. If these rejected drafts too, some callers would reach no router at all.
+		 * @return whether at least half of all routers serve, this one counted as not
+		 * serving
 		 */
 		boolean suffice() {
 			return this.serving > 0 && 2 * this.serving >= this.known + 1;
@@ -388,12 +399,12 @@
 
 	}
 
-	/** A router that is known by address; confined to the table. */
+	/** A peer that is known by its address. Confined to the table. */
 	private static final class Peer {
 
 		private PeerStatus status;
 
-		private long heardAtMs;
+		private long receivedAtMs;
 
 	}
 
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
@@ -10,8 +10,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Replays how a fleet proves its list of upstreams: who looks at the store, how often,
- * and how old the list gets at the routers that are only told.
+ * Simulates how a fleet proves its list of upstreams: which routers poll the store, how
+ * often, and how old the list gets at the routers that only receive updates from peers.
  */
 class ListProofLoadTests {
 
@@ -21,49 +21,50 @@
 
 	private static final long TICK_MS = 10;
 
-	/** How long one wait at the store is open, in milliseconds. */
-	private static final long WAIT_MS = 5000;
+	/** Duration of a watch at the store, in milliseconds. */
+	private static final long WATCH_MS = 5000;
 
 	private static final long SETTLED_MS = 10_000;
 
 	private static final long END_MS = 40_000;
 
-	/** Looks of the whole fleet, a second. */
-	private static final double MOST_LOOKS = 12;
+	/** Upper bound of the polls of the whole fleet per second. */
+	private static final double MAX_POLLS_PER_SECOND = 12;
 
 	private final Random random = new Random(7);
 
 	private final List<Member> fleet = new ArrayList<>();
 
-	private int looks;
+	private int polls;
 
-	private long oldestMs;
+	private long maxAgeMs;
 
 	@Test
-	void aFewLooksASecondProveTheListToAWholeFleet() {
-		play((member) -> true);
+	void aFewPollsPerSecondProveTheListToTheWholeFleet() {
+		run((member) -> true);
 
-		assertThat(this.looks * 1000.0 / (END_MS - SETTLED_MS)).isLessThan(MOST_LOOKS);
-		assertThat(this.oldestMs).isLessThan(DRAIN_MS / 2 + DRAIN_MS / 10);
+		assertThat(this.polls * 1000.0 / (END_MS - SETTLED_MS)).isLessThan(MAX_POLLS_PER_SECOND);
+		assertThat(this.maxAgeMs).isLessThan(DRAIN_MS / 2 + DRAIN_MS / 10);
 	}
 
-	// Those that wait at the store are cut off from it and go on saying that they wait:
-	// their calls are lost, and the others must neither go without a proof nor all look.
+	// Guards against routers that are cut off from the store while they still report that
+	// they watch it: their calls are lost, and the other routers must neither stay
+	// without a proof nor all poll the store.
 	@Test
-	void aFleetWhoseWaitingRoutersAreCutOffIsProvedByOthers() {
-		play((member) -> member.index >= 4);
+	void otherRoutersProveTheListWhenAllWatchersAreCutOff() {
+		run((member) -> member.index >= 4);
 
-		assertThat(this.looks * 1000.0 / (END_MS - SETTLED_MS)).isLessThan(MOST_LOOKS);
-		assertThat(this.oldestMs).isLessThan(DRAIN_MS / 2 + DRAIN_MS / 10);
+		assertThat(this.polls * 1000.0 / (END_MS - SETTLED_MS)).isLessThan(MAX_POLLS_PER_SECOND);
+		assertThat(this.maxAgeMs).isLessThan(DRAIN_MS / 2 + DRAIN_MS / 10);
 	}
 
-	private void play(Predicate<Member> reaches) {
+	private void run(Predicate<Member> reachesStore) {
 		for (int index = 0; index < ROUTERS; index++) {
 			this.fleet.add(new Member(index, this.random.nextInt((int) PeerLink.PERIOD_MS)));
 		}
 		for (long nowMs = 0; nowMs < END_MS; nowMs += TICK_MS) {
 			for (Member member : this.fleet) {
-				member.tick(nowMs, reaches.test(member));
+				member.tick(nowMs, reachesStore.test(member));
 			}
 		}
 	}
@@ -73,74 +74,74 @@
 
 		private final int index;
 
-		private final ListWatchRotation rota = new ListWatchRotation(DRAIN_MS, ListProofLoadTests.this.random);
+		private final ListWatchRotation rotation = new ListWatchRotation(DRAIN_MS, ListProofLoadTests.this.random);
 
-		private boolean waits;
+		private boolean watches;
 
-		private long waitEndsMs;
+		private long watchEndsMs;
 
 		private long provedAtMs;
 
-		private long nextMs;
+		private long nextPollMs;
 
-		private long askNextMs;
+		private long nextQueryMs;
 
-		private Member(int index, long askNextMs) {
+		private Member(int index, long nextQueryMs) {
 			this.index = index;
-			this.waits = index < 4;
-			this.askNextMs = askNextMs;
+			this.watches = index < 4;
+			this.nextQueryMs = nextQueryMs;
 		}
 
 		private void tick(long nowMs, boolean reachesStore) {
-			hearOthers(nowMs);
-			if (this.waits && reachesStore && nowMs >= this.waitEndsMs) {
-				waitOrLeave(nowMs);
+			queryPeers(nowMs);
+			if (this.watches && reachesStore && nowMs >= this.watchEndsMs) {
+				watchOrStop(nowMs);
 			}
-			if (nowMs >= this.nextMs) {
+			if (nowMs >= this.nextPollMs) {
 				step(nowMs, reachesStore);
 			}
 			if (nowMs > SETTLED_MS) {
-				ListProofLoadTests.this.oldestMs = Math.max(ListProofLoadTests.this.oldestMs, nowMs - this.provedAtMs);
+				ListProofLoadTests.this.maxAgeMs = Math.max(ListProofLoadTests.this.maxAgeMs, nowMs - this.provedAtMs);
 			}
 		}
 
-		private void hearOthers(long nowMs) {
-			if (nowMs < this.askNextMs) {
+		private void queryPeers(long nowMs) {
+			if (nowMs < this.nextQueryMs) {
 				return;
 			}
-			this.askNextMs += PeerLink.PERIOD_MS;
-			for (int asked = 0; asked < PeerLink.FANOUT; asked++) {
+			this.nextQueryMs += PeerLink.PERIOD_MS;
+			for (int query = 0; query < PeerLink.FANOUT; query++) {
 				Member other = ListProofLoadTests.this.fleet.get(ListProofLoadTests.this.random.nextInt(ROUTERS));
 				this.provedAtMs = Math.max(this.provedAtMs, other.provedAtMs);
 			}
 		}
 
 		private void step(long nowMs, boolean reachesStore) {
-			long pauseMs = this.rota.pollDelayMs(nowMs - this.provedAtMs, this.waits);
-			if (pauseMs == 0) {
-				ListProofLoadTests.this.looks++;
-				pauseMs = look(nowMs, reachesStore);
+			long delayMs = this.rotation.pollDelayMs(nowMs - this.provedAtMs, this.watches);
+			if (delayMs == 0) {
+				ListProofLoadTests.this.polls++;
+				delayMs = poll(nowMs, reachesStore);
 			}
-			this.nextMs = nowMs + pauseMs;
+			this.nextPollMs = nowMs + delayMs;
 		}
 
-		private long look(long nowMs, boolean reachesStore) {
+		private long poll(long nowMs, boolean reachesStore) {
 			if (!reachesStore) {
 				return WatchPause.ms(ROUTERS, DRAIN_MS);
 			}
 			this.provedAtMs = nowMs;
-			if (!this.waits) {
-				waitOrLeave(nowMs);
+			if (!this.watches) {
+				watchOrStop(nowMs);
 			}
-			return this.rota.pollDelayMs(0, this.waits);
+			return this.rotation.pollDelayMs(0, this.watches);
 		}
 
-		private void waitOrLeave(long nowMs) {
+		private void watchOrStop(long nowMs) {
 			long others = ListProofLoadTests.this.fleet.stream()
-				.filter((member) -> member != this && member.waits)
+				.filter((member) -> member != this && member.watches)
 				.count();
-			this.waits = this.rota.shouldWatch(others);
-			this.waitEndsMs = nowMs + WAIT_MS;
+			this.watches = this.rotation.shouldWatch(others);
+			this.watchEndsMs = nowMs + WATCH_MS;
 		}
 
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotationTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListWatchRotationTests.java
@@ -8,59 +8,66 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * How many routers wait at the store while the list of upstreams changes all the time.
+ * Tests how many routers watch the store while the list of upstreams changes all the
+ * time.
  */
 class ListWatchRotationTests {
 
 	private static final long DRAIN_MS = 3000;
 
-	private final ListWatchRotation rota = new ListWatchRotation(DRAIN_MS, new Random(1));
+	private final ListWatchRotation rotation = new ListWatchRotation(DRAIN_MS, new Random(1));
 
-	// A store that allows a few thousand calls a second is asked by each of 390 routers
-	// with each change. Whoever has just heard of one goes on only if few others do.
+	// Guards against overload of a store that allows a few thousand calls per second,
+	// when each of 390 routers calls it on each change. A router that has just received a
+	// change keeps watching only if few others do.
 	@Test
-	void aFewOfALargeFleetGoOnAndTheRestIsTold() {
+	void onlyAFewRoutersOfALargeFleetKeepWatching() {
 		int watching = 390;
 		for (int change = 0; change < 20; change++) {
-			watching = goingOn(watching);
+			watching = keepWatching(watching);
 		}
 
 		assertThat(watching).isBetween(0, 12);
 	}
 
 	@Test
-	void whileFewWaitAllOfThemGoOn() {
-		assertThat(goingOn(3)).isEqualTo(3);
+	void allRoutersKeepWatchingWhileTheyAreFew() {
+		assertThat(keepWatching(3)).isEqualTo(3);
 	}
 
-	private int goingOn(int watching) {
-		return (int) IntStream.range(0, watching).filter((index) -> this.rota.shouldWatch(watching - 1)).count();
+	private int keepWatching(int watching) {
+		return (int) IntStream.range(0, watching).filter((index) -> this.rotation.shouldWatch(watching - 1)).count();
 	}
 
-	// A caller's request is sent to an upstream that has gone: whoever waited at the
-	// store was killed, and nobody tells the others. They look for themselves while a
-	// leaving upstream still serves.
+	// Guards against requests sent to an upstream that has stopped: all watchers were
+	// killed, so that no peer sends updates. The other routers must poll the store while
+	// a leaving upstream still serves.
 	@Test
-	void aListThatNobodyConfirmsIsLookedAfterBeforeALeavingUpstreamEnds() {
-		assertThat(ageAtLookMs(false)).isLessThanOrEqualTo(DRAIN_MS / 2);
-		assertThat(ageAtLookMs(true)).isLessThanOrEqualTo(DRAIN_MS / 2);
+	void anUnconfirmedListIsPolledBeforeALeavingUpstreamStops() {
+		assertThat(ageAtPollMs(false)).isLessThanOrEqualTo(DRAIN_MS / 2);
+		assertThat(ageAtPollMs(true)).isLessThanOrEqualTo(DRAIN_MS / 2);
 	}
 
-	private long ageAtLookMs(boolean waits) {
+	private long ageAtPollMs(boolean watches) {
 		long ageMs = 0;
-		for (long pauseMs = this.rota.pollDelayMs(ageMs, waits); pauseMs > 0; pauseMs = this.rota.pollDelayMs(ageMs, waits)) {
-			ageMs += pauseMs;
+		for (long delayMs = this.rotation.pollDelayMs(ageMs, watches); delayMs > 0; delayMs = this.rotation
+			.pollDelayMs(ageMs, watches)) {
+			ageMs += delayMs;
 		}
 		return ageMs;
 	}
 
-	// All routers of a fleet were told last by the same one: their lists grow old
-	// together, and the first ones that look tell the others before those look too.
+	// The same router confirmed the lists of the whole fleet, which therefore age
+	// together. The first routers that poll must confirm the lists of the others before
+	// these poll too.
 	@Test
-	void routersWhoseListsGrowOldTogetherDoNotLookTogether() {
-		long[] pausesMs = IntStream.range(0, 95).mapToLong((index) -> this.rota.pollDelayMs(0, false)).sorted().toArray();
+	void routersWhoseListsAgeTogetherPollAtDifferentTimes() {
+		long[] delaysMs = IntStream.range(0, 95)
+			.mapToLong((index) -> this.rotation.pollDelayMs(0, false))
+			.sorted()
+			.toArray();
 
-		assertThat(pausesMs[94] - pausesMs[0]).isGreaterThan(DRAIN_MS / 20);
+		assertThat(delaysMs[94] - delaysMs[0]).isGreaterThan(DRAIN_MS / 20);
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerLinkTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerLinkTests.java
@@ -22,7 +22,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Messages between routers on real sockets.
+ * Tests messages between routers on real sockets.
  */
 class PeerLinkTests {
 
@@ -33,11 +33,12 @@
 		this.group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly();
 	}
 
-	// Many upstreams change between two watches, and the routers that don't wait at the
-	// store never hear of it: the answer is longer than what the channel reads of a
-	// datagram, and a part of it can't be read.
+	// Guards against an answer that is longer than what the channel reads of a datagram:
+	// it would be truncated and could not be decoded, so that routers that do not watch
+	// the store would never receive the changes when many upstreams change between two
+	// watches.
 	@Test
-	void anAnswerWithAsManyChangesAsAreToldIsReadWhole() throws Exception {
+	void anAnswerWithTheMaximumNumberOfChangesIsReadCompletely() throws Exception {
 		UpstreamChanges changes = new UpstreamChanges(Versions.v(3),
 				IntStream.range(0, RecentChanges.MOST_TOLD)
 					.mapToObj((index) -> new Upstream("an-engine-with-a-long-name-" + index, 1_900_000_000_000L,
@@ -45,21 +46,21 @@
 							134, "a-kind-of-accelerator", new LayerRange(40, 80), false))
 					.toList(),
 				List.of(), Versions.v(9));
-		CompletableFuture<UpstreamChanges> told = new CompletableFuture<>();
+		CompletableFuture<UpstreamChanges> received = new CompletableFuture<>();
 		InetSocketAddress answering = freeAddress();
 		Channel first = bound(link(answering, changes, new CompletableFuture<>()).start(answering));
-		InetSocketAddress asking = freeAddress();
-		PeerLink link = link(asking, changes, told);
-		Channel second = bound(link.start(asking));
+		InetSocketAddress requesting = freeAddress();
+		PeerLink link = link(requesting, changes, received);
+		Channel second = bound(link.start(requesting));
 
 		link.requestChanges(answering.getAddress().getHostAddress() + ":" + answering.getPort(), Versions.v(3));
 
-		assertThat(told.get(5, TimeUnit.SECONDS)).isEqualTo(changes);
+		assertThat(received.get(5, TimeUnit.SECONDS)).isEqualTo(changes);
 		first.close().sync();
 		second.close().sync();
 	}
 
-	private PeerLink link(InetSocketAddress own, UpstreamChanges changes, CompletableFuture<UpstreamChanges> told) {
+	private PeerLink link(InetSocketAddress own, UpstreamChanges changes, CompletableFuture<UpstreamChanges> received) {
 		EventLoop loop = this.group.next();
 		RouterContext context = (RouterContext) Proxy.newProxyInstance(getClass().getClassLoader(),
 				new Class<?>[] { RouterContext.class },
@@ -68,11 +69,11 @@
 
 			@Override
 			public PeerStatus status(long sequence, boolean answer) {
-				throw new IllegalStateException("nobody is there to be asked");
+				throw new IllegalStateException("unexpected status query: no peer is known");
 			}
 
 			@Override
-			public void heard(PeerStatus status) {
+			public void onStatus(PeerStatus status) {
 			}
 
 			@Override
@@ -81,29 +82,29 @@
 			}
 
 			@Override
-			public void told(UpstreamChanges answer) {
-				told.complete(answer);
+			public void onChanges(UpstreamChanges answer) {
+				received.complete(answer);
 			}
 
 			@Override
-			public List<PeerMessage> news() {
+			public List<PeerMessage> pendingReports() {
 				return List.of();
 			}
 
 			@Override
-			public void heard(PeerMessage.CrashReports reports) {
+			public void onCrashReports(PeerMessage.CrashReports reports) {
 			}
 
 			@Override
-			public void heard(PeerMessage.Limits limits) {
+			public void onLimits(PeerMessage.Limits limits) {
 			}
 
 		});
 	}
 
-	// A link binds on its event loop; a question that is sent before finds nobody.
+	// A link binds on its event loop; a request that is sent earlier finds no listener.
 	private static Channel bound(Channel channel) throws InterruptedException {
-		for (int wait = 0; wait < 500 && !channel.isActive(); wait++) {
+		for (int attempt = 0; attempt < 500 && !channel.isActive(); attempt++) {
 			Thread.sleep(10);
 		}
 		assertThat(channel.isActive()).isTrue();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -13,31 +13,33 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What routers learn from each other.
+ * Tests what routers learn from their peers, and the encoding of their messages.
  */
 class PeerTableTests {
 
 	private final PeerTable table = new PeerTable("10.0.0.1:1", new Random(1));
 
-	// A key that was taken away works at a router that the store does not answer: it took
-	// a peer's proof for as young as the answer. What the peer says is at least as old as
-	// the question, and older by the age of the peer's own proof.
+	// Guards against a revoked key that keeps working at a router that is cut off from
+	// the store, because it dates a peer's proof by the arrival of the answer. The proof
+	// counts from the time of the query, less the age that the peer reports for it.
 	@Test
-	void aProofIsDatedByTheQuestionAndItsAgeThere() {
-		long question = this.table.ask(10_000);
+	void aProofIsDatedByTheQueryLessItsReportedAge() {
+		long query = this.table.startQuery(10_000);
 
-		assertThat(this.table.provedAtMs(status("10.0.0.2:1", question, true, 700))).isEqualTo(9_300);
+		assertThat(this.table.provedAtMs(status("10.0.0.2:1", query, true, 700))).isEqualTo(9_300);
 	}
 
 	@Test
-	void whatWasNotAskedForProvesNothing() {
+	void aStatusThatAnswersNoQueryProvesNothing() {
 		assertThat(this.table.provedAtMs(status("10.0.0.2:1", 99, true, 0))).isEqualTo(Long.MIN_VALUE);
-		assertThat(this.table.provedAtMs(status("10.0.0.2:1", this.table.ask(5), false, 0))).isEqualTo(Long.MIN_VALUE);
-		assertThat(this.table.provedAtMs(status("10.0.0.2:1", this.table.ask(5), true, -1))).isEqualTo(Long.MIN_VALUE);
+		assertThat(this.table.provedAtMs(status("10.0.0.2:1", this.table.startQuery(5), false, 0)))
+			.isEqualTo(Long.MIN_VALUE);
+		assertThat(this.table.provedAtMs(status("10.0.0.2:1", this.table.startQuery(5), true, -1)))
+			.isEqualTo(Long.MIN_VALUE);
 	}
 
 	@Test
-	void memoryOfRequestsIsSummedOverRoutersThatWereHeardLately() {
+	void requestMemoryIsSummedOverActivePeers() {
 		this.table.update(status("10.0.0.2:1", 1, true, 0), 0);
 		this.table.update(status("10.0.0.3:1", 1, true, 0), 1000);
 
@@ -46,10 +48,11 @@
 		assertThat(this.table.tokenLayersAt("e2", 1000)).isZero();
 	}
 
-	// Repeats of all routers go over their bound: one that is cut off sees no others and
-	// takes all of the slack for itself. Routers that are silent still count.
+	// Guards against retries of all routers exceeding their common bound: a router that
+	// is cut off has no active peers and would take all of the slack for itself. Silent
+	// peers still count.
 	@Test
-	void aRouterThatHearsNobodyStillSharesWithThoseItKnows() {
+	void aRouterWithoutActivePeersStillCountsKnownOnes() {
 		this.table.addresses(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.1:1"));
 
 		assertThat(this.table.routerCount(0)).isEqualTo(3);
@@ -57,7 +60,7 @@
 	}
 
 	@Test
-	void aRouterThatLeavesIsNoLeader() {
+	void aSilentRouterIsNoLeader() {
 		this.table.update(status("10.0.0.2:1", 1, true, 0), 0);
 
 		assertThat(this.table.hasLeader(0)).isTrue();
@@ -65,7 +68,7 @@
 	}
 
 	@Test
-	void aStatusSurvivesItsCodec() {
+	void aStatusSurvivesEncoding() {
 		PeerStatus status = status("10.0.0.2:1", 7, true, 5);
 		PeerCodec codec = new PeerCodec();
 
@@ -74,7 +77,7 @@
 	}
 
 	@Test
-	void reportsOfCrashesSurviveTheirCodec() {
+	void crashReportsSurviveEncoding() {
 		PeerMessage.CrashReports reports = new PeerMessage.CrashReports(List.of(
 				new CrashHistory(new RequestFingerprint(-7), List.of(new CrashHistory.Crash("e-1@5", 12, true)), -1),
 				new CrashHistory(new RequestFingerprint(9), List.of(), 40)));
@@ -84,7 +87,7 @@
 	}
 
 	@Test
-	void wordsOnLimitsSurviveTheirCodec() {
+	void limitsSurviveEncoding() {
 		PeerMessage.Limits limits = new PeerMessage.Limits(
 				List.of(new NamedLimit("e-1@5", 3.7, 12), new NamedLimit("e-2", -1, 0)));
 		PeerCodec codec = new PeerCodec();
@@ -93,8 +96,8 @@
 	}
 
 	@Test
-	void oneOfTheRoutersThatHearEachOtherIsNearestToAKey() {
-		List<PeerTable> fleet = fleetThatHearsEachOther(4);
+	void exactlyOneOfTheConnectedRoutersIsNearestToAKey() {
+		List<PeerTable> fleet = connectedFleet(4);
 		for (long key = 0; key < 100; key++) {
 			long finalKey = key;
 			assertThat(fleet.stream().filter((own) -> own.nearestTo(finalKey, 0))).hasSize(1);
@@ -102,15 +105,15 @@
 	}
 
 	@Test
-	void aRouterThatIsGoneLeavesItsPlaceToAnother() {
-		List<PeerTable> fleet = fleetThatHearsEachOther(4);
+	void aRouterThatIsGoneLosesItsPlaceToAnother() {
+		List<PeerTable> fleet = connectedFleet(4);
 		long laterMs = 40_000;
 
 		assertThat(fleet.stream().filter((own) -> own.shareOf(5, 2, 0) > 0)).hasSize(2);
 		assertThat(fleet).allMatch((own) -> own.shareOf(5, 2, laterMs) == 0.5);
 	}
 
-	private static List<PeerTable> fleetThatHearsEachOther(int routers) {
+	private static List<PeerTable> connectedFleet(int routers) {
 		List<PeerTable> fleet = new ArrayList<>();
 		for (int index = 0; index < routers; index++) {
 			PeerTable own = new PeerTable("10.0.0." + index + ":1", new Random(1));
@@ -122,11 +125,11 @@
 		return fleet;
 	}
 
-	// A fleet starts: each router has heard a few others, which all wait at the store,
-	// and
-	// takes these few for all that do.
+	// Guards against a miscount while a fleet starts: each router has received the status
+	// of only a few peers, which all watch the store, and would take these few for all
+	// watchers.
 	@Test
-	void routersThatWereNotHeardAreTakenToWaitAtTheStoreLikeThoseThatWere() {
+	void silentPeersAreAssumedToWatchTheStoreLikeActiveOnes() {
 		List<String> known = new ArrayList<>();
 		for (int index = 2; index < 96; index++) {
 			known.add("10.0.0." + index + ":1");
@@ -140,7 +143,7 @@
 	}
 
 	@Test
-	void questionsAndAnswersOfChangesSurviveTheirCodec() {
+	void changesQuestionsAndAnswersSurviveEncoding() {
 		Upstream engine = new Upstream("e", 7, "s", "10.0.0.1:80", "a", 8, "big", new LayerRange(0, 40), true);
 		Upstream plain = new Upstream("p", Upstream.BORN_UNKNOWN, "s", "10.0.0.2:80", "a", 8, null, null, false);
 		PeerMessage answer = new PeerMessage.ChangesAnswer(
@@ -152,11 +155,12 @@
 		assertThat(codec.decode(codec.encode(question))).contains(question);
 	}
 
-	// The store is asked for the lease twice a second by most of 88 routers, since each
-	// hears only some of the others and seldom the holder. The word of it is passed on,
-	// with its age, and grows old like one's own.
+	// Guards against most of 88 routers reading the lease from the store twice a second,
+	// because each receives the status of only some peers, seldom of the holder. Peers
+	// relay the age of the holder's status, which grows like that of a status received
+	// directly.
 	@Test
-	void theHoldersWordIsPassedOnWithItsAge() {
+	void theAgeOfTheLeadersStatusIsRelayed() {
 		this.table.update(ofLeader("10.0.0.2:1", false, false, 600), 1_000);
 
 		assertThat(this.table.hasLeader(1_000)).isTrue();
@@ -166,7 +170,7 @@
 	}
 
 	@Test
-	void aHolderThatLeavesIsLookedForAtOnceWhateverOthersStillPassOn() {
+	void aLeavingLeaderIsReplacedAtOnceDespiteOlderRelayedReports() {
 		this.table.update(ofLeader("10.0.0.2:1", true, false, -1), 1_000);
 		this.table.update(ofLeader("10.0.0.2:1", true, true, -1), 1_100);
 		this.table.update(ofLeader("10.0.0.3:1", false, false, 150), 1_200);
@@ -177,10 +181,10 @@
 		assertThat(this.table.hasLeader(1_300)).isTrue();
 	}
 
-	// Of 88 routers, 36 are heard in time; each has 100 at the engine, so that 8,700 are
-	// taken there by the others and not 3,600.
+	// Of 87 peers in a fleet of 88 routers, the statuses of 36 arrive in time. Each has
+	// 100 token layers at the engine, so that the peers occupy 8,700 there, not 3,600.
 	@Test
-	void routersThatCanNotBeHeardInTimeCountLikeTheOthers() {
+	void peersWhoseStatusCanNotArriveInTimeCountLikeActiveOnes() {
 		List<String> known = new ArrayList<>();
 		for (int index = 2; index < 89; index++) {
 			known.add("10.0.0." + index + ":1");
@@ -191,10 +195,10 @@
 		assertThat(this.table.tokenLayersAt("e1", 1_000)).isBetween(8_600L, 8_800L);
 	}
 
-	// A stopping router refuses drafts, and their callers reach nobody: of the two others
-	// one is gone and the balancer sends to it all the same.
+	// Guards against a stopping router that rejects drafts whose callers then reach no
+	// router: of its two peers one is gone, and the load balancer still sends to it.
 	@Test
-	void oneOfTwoOthersDoesNotSufficeForCallersThatAreRefused() {
+	void oneOfTwoPeersDoesNotSufficeForRejectedCallers() {
 		this.table.update(inDomain("10.0.0.2:1", "a", false), 0);
 		this.table.update(inDomain("10.0.0.3:1", "a", true), 0);
 		this.table.update(inDomain("10.0.0.4:1", "b", false), 0);
@@ -204,17 +208,17 @@
 	}
 
 	@Test
-	void theOnlyRouterOfAFailureDomainCountsOnThoseOfOtherOnes() {
+	void theOnlyRouterOfAFailureDomainReliesOnOtherDomains() {
 		this.table.update(inDomain("10.0.0.4:1", "b", false), 0);
 
 		assertThat(this.table.others("a", 100).suffice()).isTrue();
 		assertThat(this.table.others("a", PeerTable.SILENT_MS).suffice()).isFalse();
 	}
 
-	// Of 99 others, 36 are heard in time. The rest is silent since nobody asked it, and
-	// not since it is gone.
+	// Of 99 peers, the statuses of 36 arrive in time. The rest is silent because it was
+	// not queried, not because it is gone.
 	@Test
-	void routersThatCanNotBeHeardInTimeAreNotTakenForGone() {
+	void peersWhoseStatusCanNotArriveInTimeAreNotConsideredGone() {
 		for (int index = 2; index < 101; index++) {
 			this.table.update(inDomain("10.0.0." + index + ":1", "a", false), (index < 38) ? 2_000 : 0);
 		}
