--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
@@ -16,9 +16,9 @@
 
 	private final RouterSettings settings;
 
-	private final ConfigurationKeeper configurationKeeper;
+	private final ConfigurationSynchronizer configurationSynchronizer;
 
-	private final DirectoryKeeper directoryKeeper;
+	private final DirectorySynchronizer directorySynchronizer;
 
 	private final LayerKeeper layerKeeper;
 
@@ -32,18 +32,19 @@
 	 * Creates a handler.
 	 * @param router the clocks, the directory and the peers
 	 * @param settings this router's name and address
-	 * @param configurationKeeper holds the configuration in force
-	 * @param directoryKeeper holds the list of upstreams
+	 * @param configurationSynchronizer holds the configuration in force
+	 * @param directorySynchronizer holds the list of upstreams
 	 * @param layerKeeper tracks slow engines while this router leads
 	 * @param leadership whether this router leads
 	 * @param era the era of the store
 	 */
-	PeerMessageHandler(RouterContext router, RouterSettings settings, ConfigurationKeeper configurationKeeper,
-			DirectoryKeeper directoryKeeper, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
+	PeerMessageHandler(RouterContext router, RouterSettings settings,
+			ConfigurationSynchronizer configurationSynchronizer, DirectorySynchronizer directorySynchronizer,
+			LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
 		this.router = router;
 		this.settings = settings;
-		this.configurationKeeper = configurationKeeper;
-		this.directoryKeeper = directoryKeeper;
+		this.configurationSynchronizer = configurationSynchronizer;
+		this.directorySynchronizer = directorySynchronizer;
 		this.layerKeeper = layerKeeper;
 		this.leadership = leadership;
 		this.era = era;
@@ -60,30 +61,31 @@
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().advertisedAddresses(nowMs), this.router.stopping(),
 				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
-				this.directoryKeeper.state(), this.era.current(), this.configurationKeeper.returnAgeMs());
+				this.directorySynchronizer.state(), this.era.current(), this.configurationSynchronizer.restoreAgeMs());
 	}
 
 	@Override
 	public void onStatus(PeerStatus status) {
 		PeerTable peers = this.router.peers();
-		this.era.heard(status.storeEra());
+		this.era.eraReceived(status.storeEra());
 		if (status.storeEra() == this.era.current()) {
-			this.configurationKeeper.heardOfReturn(status.storeReturnAgeMs());
+			this.configurationSynchronizer.peerRestoreReceived(status.storeReturnAgeMs());
 		}
 		peers.update(status, this.router.nowMs());
 		status.suspects().forEach(this.router.watch()::hearsay);
-		this.configurationKeeper.heard(status.version(), peers.provedAtMs(status), status.address());
-		this.directoryKeeper.heard(status.address(), status.list(), peers.listProvedAtMs(status));
+		this.configurationSynchronizer.peerVersionReceived(status.version(), peers.provedAtMs(status),
+				status.address());
+		this.directorySynchronizer.peerStateReceived(status.address(), status.list(), peers.listProvedAtMs(status));
 	}
 
 	@Override
 	public UpstreamChanges changesAfter(StoreVersion after) {
-		return this.directoryKeeper.changesAfter(after);
+		return this.directorySynchronizer.changesAfter(after);
 	}
 
 	@Override
 	public void onChanges(UpstreamChanges changes) {
-		this.directoryKeeper.told(changes);
+		this.directorySynchronizer.peerChangesReceived(changes);
 	}
 
 	@Override
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ListProofLoadTests.java
@@ -127,7 +127,7 @@
 
 		private long poll(long nowMs, boolean reachesStore) {
 			if (!reachesStore) {
-				return WatchPause.ms(ROUTERS, DRAIN_MS);
+				return WatchRetryDelay.ms(ROUTERS, DRAIN_MS);
 			}
 			this.provedAtMs = nowMs;
 			if (!this.watches) {
