--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -160,7 +160,7 @@
 		this.directory = new UpstreamDirectory((upstream) -> this.pool.drop(upstream.incarnation()));
 		this.engineMonitor = new EngineMonitor(this, ports.engines(), this::engineStateChanged,
 				() -> leadership().holds());
-		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().tellNow());
+		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().sendStatusNow());
 		this.store = ports.store();
 		this.engines = ports.engines();
 		this.configurationSynchronizer = new ConfigurationSynchronizer(this.loop, ports.store(), this.proof, boot,
@@ -175,7 +175,7 @@
 		this.directorySynchronizer = new DirectorySynchronizer(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
 		this.peerLink = new PeerLink(this, this.peers,
-				new PeerConversation(this, settings, this.configurationSynchronizer, this.directorySynchronizer,
+				new PeerMessageHandler(this, settings, this.configurationSynchronizer, this.directorySynchronizer,
 						this.layerReconciler, this.leadership, ports.store().era()));
 		ports.store().era().onRestore(this::storeRestored);
 	}
@@ -191,7 +191,7 @@
 		this.layerReconciler.start();
 		Channel peerChannel = this.peerLink.start(this.settings.peers());
 		this.closer.register(peerChannel::close);
-		PeerDocuments documents = new PeerDocuments(this.configurationSynchronizer::document,
+		PeerConfigurationHandler documents = new PeerConfigurationHandler(this.configurationSynchronizer::document,
 				() -> this.proof.ageMs(this.boot.nowMs()));
 		listen(this.settings.peers(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), documents));
 		announce();
@@ -245,7 +245,7 @@
 		this.store.announce(this.settings.name(), Addresses.text(this.settings.peers()), (reply) -> {
 			if (reply instanceof StoreReply.Found<List<String>> found) {
 				this.peers.addresses(found.value());
-				this.configurationSynchronizer.peersQueried(this.peerLink.askUnheard());
+				this.configurationSynchronizer.peersQueried(this.peerLink.querySilentPeers());
 				logger.atInfo().log("event=announced routers=%d", found.value().size());
 			}
 			else {
@@ -261,12 +261,12 @@
 		this.configurationSynchronizer.storeRestored();
 		this.directorySynchronizer.storeRestored();
 		this.crashGuard.records().storeReturned();
-		long jitterMs = ANNOUNCE_JITTER_MS_PER_ROUTER * this.peers.sharers(nowMs());
+		long jitterMs = ANNOUNCE_JITTER_MS_PER_ROUTER * this.peers.routerCount(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(jitterMs), TimeUnit.MILLISECONDS);
 	}
 
 	private void engineStateChanged() {
-		this.peerLink.tellNow();
+		this.peerLink.sendStatusNow();
 		this.layerReconciler.plan();
 	}
 
@@ -500,12 +500,12 @@
 
 		@Override
 		public void notifyPeers() {
-			Router.this.peerLink.tellNow();
+			Router.this.peerLink.sendStatusNow();
 		}
 
 		@Override
 		public void requestChanges(String address, StoreVersion after) {
-			Router.this.peerLink.askForChanges(address, after);
+			Router.this.peerLink.requestChanges(address, after);
 		}
 
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
@@ -63,7 +63,7 @@
 	 * @return the judgement
 	 */
 	Judgement judge(StopSchedule schedule, long nowMs, Candidate candidate, long[] inProgressMs,
-			PeerTable.Others others) {
+			PeerTable.ReachablePeers others) {
 		long leftMs = schedule.leftMs(nowMs);
 		double maxOutliving = candidate.repeatable() ? MAX_OUTLIVING_RATIO : MAX_OUTLIVING_RATIO_UNREPEATABLE;
 		RecentDurations durations = this.byFamily.get(candidate.family());
@@ -121,7 +121,7 @@
 	 * there are too few
 	 * @param others the peers
 	 */
-	record Judgement(boolean begins, long ageMs, long leftMs, double outliving, PeerTable.Others others) {
+	record Judgement(boolean begins, long ageMs, long leftMs, double outliving, PeerTable.ReachablePeers others) {
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -120,7 +120,7 @@
 		// All routers decide alone and much alike: what this one has just sent to an
 		// engine, the others have too, and prompts that all go the same way after a loss
 		// are read one after the other.
-		int routers = 1 + this.peers.heardLately(nowMs);
+		int routers = 1 + this.peers.activeCount(nowMs);
 		List<PathFinder.Candidate> candidates = new ArrayList<>();
 		for (UpstreamState state : this.directory.active(wish.service().name())) {
 			EngineKind kind = profile.kinds().get(state.upstream().kind());
@@ -143,7 +143,7 @@
 
 	private double pace(UpstreamState state, long nowMs) {
 		return Math.max(this.paces.getOrDefault(state.incarnation(), 1.0),
-				this.peers.paceOf(state.incarnation(), nowMs));
+				this.peers.slowdownOf(state.incarnation(), nowMs));
 	}
 
 	private static Engine engine(UpstreamState state, EngineKind kind) {
