--- a/whinjunction-router/src/main/java/io/whinjunction/router/HopHeaders.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/HopByHopHeaders.java
@@ -9,14 +9,14 @@
 /**
  * Headers that concern one connection only and are never passed on. Stateless.
  */
-public final class HopHeaders {
+public final class HopByHopHeaders {
 
 	private static final List<CharSequence> NAMES = List.of(HttpHeaderNames.CONNECTION, "Keep-Alive",
 			HttpHeaderNames.PROXY_AUTHENTICATE, HttpHeaderNames.PROXY_AUTHORIZATION, "Proxy-Connection",
 			HttpHeaderNames.TE, HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE,
 			HttpHeaderNames.EXPECT);
 
-	private HopHeaders() {
+	private HopByHopHeaders() {
 	}
 
 	/**
