--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -339,7 +339,7 @@
 		this.head = received;
 		this.session.router().limits().heard(this.first, received);
 		this.session.router().crashGuard().answered(this.first);
-		HttpHeaders headers = HopByHopHeaders.withoutThem(response.headers());
+		HttpHeaders headers = HopByHopHeaders.strip(response.headers());
 		boolean stream = this.session.route().kind() == RequestKind.STREAMING && received.success();
 		this.streaming = stream && received.genuine();
 		this.answer = new Answer(response.status(), headers, Unpooled.buffer(0));
--- a/whinjunction-router/src/main/java/io/whinjunction/router/HopByHopHeaders.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/HopByHopHeaders.java
@@ -25,7 +25,7 @@
 	 * @param headers the headers
 	 * @return a new copy
 	 */
-	public static HttpHeaders withoutThem(HttpHeaders headers) {
+	public static HttpHeaders strip(HttpHeaders headers) {
 		HttpHeaders copy = new DefaultHttpHeaders(false);
 		copy.add(headers);
 		for (String listed : headers.getAll(HttpHeaderNames.CONNECTION)) {
