--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -155,7 +155,7 @@
 		HttpHeaders headers = new DefaultHttpHeaders();
 		headers.add(request.forwarded());
 		headers.set(HttpHeaderNames.HOST, request.host());
-		this.session.router().dialect().addHandover(headers, handover());
+		this.session.router().dialect().addHandover(headers, forwardingContext());
 		HttpMethod method = HttpMethod.valueOf(request.method());
 		if (!this.session.body().passingThrough()) {
 			sendWhole(method, headers);
@@ -165,12 +165,12 @@
 		}
 	}
 
-	private Handover handover() {
+	private ForwardingContext forwardingContext() {
 		String lastEventId = this.session.request().lastEventId();
 		if (this.session.answerBegun() && this.session.events().lastId() != null) {
 			lastEventId = this.session.events().lastId();
 		}
-		return new Handover(this.target.first().id(), this.session.teamName(), this.session.leftMs(),
+		return new ForwardingContext(this.target.first().id(), this.session.teamName(), this.session.leftMs(),
 				this.session.priority(), this.target.path(), lastEventId);
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
@@ -20,9 +20,9 @@
 	/**
 	 * Adds what an upstream has to know.
 	 * @param headers the headers to send, the forwarded ones already in them
-	 * @param handover what to say
+	 * @param context what to say
 	 */
-	void addHandover(HttpHeaders headers, Handover handover);
+	void addHandover(HttpHeaders headers, ForwardingContext context);
 
 	/**
 	 * Decodes an upstream's head.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Handover.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardingContext.java
@@ -14,5 +14,5 @@
  * @param path the engines it passes through; empty for a plain service
  * @param lastEventId the event after which the stream goes on, or {@code null}
  */
-public record Handover(String instanceId, String team, long leftMs, int priority, List<Hop> path, String lastEventId) {
+public record ForwardingContext(String instanceId, String team, long leftMs, int priority, List<Hop> path, String lastEventId) {
 }
