--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -155,7 +155,7 @@
 		HttpHeaders headers = new DefaultHttpHeaders();
 		headers.add(request.forwarded());
 		headers.set(HttpHeaderNames.HOST, request.host());
-		this.session.router().dialect().addHandover(headers, forwardingContext());
+		this.session.router().dialect().addForwardingHeaders(headers, forwardingContext());
 		HttpMethod method = HttpMethod.valueOf(request.method());
 		if (!this.session.body().passingThrough()) {
 			sendWhole(method, headers);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
@@ -22,7 +22,7 @@
 	 * @param headers the headers to send, the forwarded ones already in them
 	 * @param context what to say
 	 */
-	void addHandover(HttpHeaders headers, ForwardingContext context);
+	void addForwardingHeaders(HttpHeaders headers, ForwardingContext context);
 
 	/**
 	 * Decodes an upstream's head.
