--- a/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
@@ -36,7 +36,7 @@
 	 * @param headers the answer's headers
 	 * @param request the request
 	 */
-	void nameRequest(HttpHeaders headers, CallerRequest request);
+	void addRequestId(HttpHeaders headers, CallerRequest request);
 
 	/**
 	 * The path that the balancer asks whether this process takes requests.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -511,7 +511,7 @@
 
 	private void finish(String outcome, String reason, Answer answer) {
 		end(outcome, reason);
-		this.router.dialect().nameRequest(answer.headers(), this.request);
+		this.router.dialect().addRequestId(answer.headers(), this.request);
 		this.caller.respond(answer);
 	}
 
