--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallersPort.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallersPort.java
@@ -15,7 +15,7 @@
  * process needs most of its start for its classes and its first calls; until then its
  * port refused connections, callers have one more try, and both failed within a
  * millisecond. Connections that wait in the port's queue are answered as soon as there is
- * something to say. Where that takes longer than {@link #MOST_WAIT_MS}, the port is
+ * something to say. Where that takes longer than {@link #MAX_WAIT_MS}, the port is
  * closed again, so that callers turn to another router.
  * <p>
  * Invariant: the channel has one owner, this object until it is taken. Safe for one
@@ -28,7 +28,7 @@
 	 * milliseconds: what the first calls take, and under the time within which they want
 	 * their answer to begin.
 	 */
-	static final long MOST_WAIT_MS = 300;
+	static final long MAX_WAIT_MS = 300;
 
 	/** Connections that may wait while the process is busy. */
 	static final int BACKLOG = 1024;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -194,7 +194,7 @@
 		listen(this.settings.peers(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), documents));
 		announce();
 		this.crashGuard.records().read();
-		this.loop.schedule(this.callersPort::close, CallersPort.MOST_WAIT_MS, TimeUnit.MILLISECONDS);
+		this.loop.schedule(this.callersPort::close, CallersPort.MAX_WAIT_MS, TimeUnit.MILLISECONDS);
 		this.loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
 		ReadyHandler ready = new ReadyHandler(this.dialect.readyPath(), this::ready, this.metrics);
 		listen(this.settings.ready(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), ready));
