--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
@@ -265,7 +265,7 @@
 	 * @param nowMs the time
 	 * @param idleMs how long it may be quiet between or within requests
 	 */
-	void endIfQuiet(long nowMs, long idleMs) {
+	void closeIfInactive(long nowMs, long idleMs) {
 		boolean waitingForUs = !this.answered && !this.bodyOpen;
 		if (!waitingForUs && nowMs - this.quietSinceMs > idleMs) {
 			this.channel.close();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -354,7 +354,7 @@
 		long idleMs = (configuration() != null) ? configuration().limits().idleTimeoutMs()
 				: CallerLimits.DEFAULT.idleTimeoutMs();
 		long nowMs = nowMs();
-		Set.copyOf(this.callers).forEach((caller) -> caller.endIfQuiet(nowMs, idleMs));
+		Set.copyOf(this.callers).forEach((caller) -> caller.closeIfInactive(nowMs, idleMs));
 		this.metrics.state("version", (configuration() != null) ? configuration().version() : -1);
 		this.metrics.state("proof_age_ms", this.proof.ageMs(this.boot.nowMs()));
 		this.metrics.state("store_era", this.store.era().current());
