--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
@@ -283,8 +283,8 @@
 	 * This process ends: the caller gets an answer, or the visible end of one.
 	 * @return whether an answer was cut
 	 */
-	boolean routerEnds() {
-		return this.session != null && this.session.onRouterEnds();
+	boolean onRouterExit() {
+		return this.session != null && this.session.onRouterExit();
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -212,7 +212,7 @@
 	 * This process ends before the answer does.
 	 * @return whether an answer was cut that had begun
 	 */
-	boolean onRouterEnds() {
+	boolean onRouterExit() {
 		if (this.done) {
 			return false;
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
@@ -78,7 +78,7 @@
 
 	private static boolean cut(CallerConnection caller) {
 		try {
-			return caller.routerEnds();
+			return caller.onRouterExit();
 		}
 		catch (RuntimeException ex) {
 			// The others still have to be told, and the process to end.
