--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
@@ -144,7 +144,7 @@
 	 * What other routers are told.
 	 * @return what is refused and what has changed lately
 	 */
-	List<CrashHistory> told() {
+	List<CrashHistory> reported() {
 		long nowMs = this.router.nowMs();
 		if (nowMs - this.toldAtMs >= PeerLink.PERIOD_MS) {
 			this.told = this.requests.told(nowMs);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -89,7 +89,7 @@
 	@Override
 	public List<PeerMessage> news() {
 		List<PeerMessage> news = new ArrayList<>();
-		List<CrashHistory> crashes = this.router.crashGuard().told();
+		List<CrashHistory> crashes = this.router.crashGuard().reported();
 		if (!crashes.isEmpty()) {
 			news.add(new PeerMessage.CrashReports(crashes));
 		}
