--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
@@ -157,7 +157,7 @@
 	 * Takes what another router tells.
 	 * @param histories what it knows
 	 */
-	void heard(List<CrashHistory> histories) {
+	void received(List<CrashHistory> histories) {
 		boolean found = false;
 		for (CrashHistory history : histories) {
 			boolean before = isRefused(history.fingerprint());
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -102,7 +102,7 @@
 
 	@Override
 	public void heard(PeerMessage.CrashReports reports) {
-		this.router.crashGuard().heard(reports.histories());
+		this.router.crashGuard().received(reports.histories());
 	}
 
 	@Override
