--- a/whinjunction-router/src/main/java/io/whinjunction/router/RecentDurations.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RecentDurations.java
@@ -34,7 +34,7 @@
 	 * Whether enough was seen to tell a part: of one in a hundred, twenty requests say
 	 * nothing.
 	 * @param part the part, above 0
-	 * @return whether {@link #partOver} can be compared with it
+	 * @return whether {@link #ratioLongerThan} can be compared with it
 	 */
 	boolean canTell(double part) {
 		return this.count * part >= 1;
@@ -53,7 +53,7 @@
 	 * milliseconds
 	 * @return from 0 to 1
 	 */
-	double partOver(long limitMs, long[] inProgressMs) {
+	double ratioLongerThan(long limitMs, long[] inProgressMs) {
 		long[] ended = Arrays.copyOf(this.tookMs, Math.min(this.count, KEPT));
 		Arrays.sort(ended);
 		double over = 1;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
@@ -65,7 +65,7 @@
 		double mostOutliving = candidate.repeatable() ? MOST_OUTLIVING : MOST_OUTLIVING_FOR_GOOD;
 		RecentDurations durations = this.byFamily.get(candidate.family());
 		boolean known = durations != null && durations.canTell(MOST_OUTLIVING);
-		double outliving = known ? durations.partOver(leftMs, inProgressMs) : -1;
+		double outliving = known ? durations.ratioLongerThan(leftMs, inProgressMs) : -1;
 		boolean inTime = schedule.servesRequests(nowMs);
 		boolean endedInTime = candidate.longestMs() <= leftMs;
 		// What was seen may speak against an attempt, and be too little to speak for a
--- a/whinjunction-router/src/test/java/io/whinjunction/router/RecentDurationsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/RecentDurationsTests.java
@@ -20,7 +20,7 @@
 	void withoutRequestsInProgressItIsTheirPlainPart() {
 		RecentDurations durations = withDurations(100, 100);
 
-		assertThat(durations.partOver(7_000, new long[0])).isCloseTo(0.3, within(0.001));
+		assertThat(durations.ratioLongerThan(7_000, new long[0])).isCloseTo(0.3, within(0.001));
 	}
 
 	@Test
@@ -40,8 +40,8 @@
 		long[] inProgressMs = new long[40];
 		Arrays.fill(inProgressMs, 4_000);
 
-		assertThat(durations.partOver(5_000, new long[0])).isZero();
-		assertThat(durations.partOver(5_000, inProgressMs)).isCloseTo(0.5, within(0.01));
+		assertThat(durations.ratioLongerThan(5_000, new long[0])).isZero();
+		assertThat(durations.ratioLongerThan(5_000, inProgressMs)).isCloseTo(0.5, within(0.01));
 	}
 
 	@Test
@@ -51,7 +51,7 @@
 			durations.add(9_000);
 		}
 
-		assertThat(durations.partOver(8_000, new long[0])).isEqualTo(1);
+		assertThat(durations.ratioLongerThan(8_000, new long[0])).isEqualTo(1);
 	}
 
 	@Property
@@ -64,10 +64,10 @@
 		}
 		long[] soFarMs = Arrays.stream(inProgress).asLongStream().toArray();
 
-		double over = durations.partOver(limitMs, soFarMs);
+		double over = durations.ratioLongerThan(limitMs, soFarMs);
 
 		assertThat(over).isBetween(0.0, 1.0);
-		assertThat(durations.partOver((long) limitMs + moreMs, soFarMs)).isLessThanOrEqualTo(over);
+		assertThat(durations.ratioLongerThan((long) limitMs + moreMs, soFarMs)).isLessThanOrEqualTo(over);
 	}
 
 	private static RecentDurations withDurations(long stepMs, int count) {
