--- a/whinjunction-router/src/main/java/io/whinjunction/router/RecentDurations.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RecentDurations.java
@@ -36,7 +36,7 @@
 	 * @param part the part, above 0
 	 * @return whether {@link #ratioLongerThan} can be compared with it
 	 */
-	boolean canTell(double part) {
+	boolean canEstimate(double part) {
 		return this.count * part >= 1;
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
@@ -64,13 +64,13 @@
 		long leftMs = schedule.leftMs(nowMs);
 		double mostOutliving = candidate.repeatable() ? MOST_OUTLIVING : MOST_OUTLIVING_FOR_GOOD;
 		RecentDurations durations = this.byFamily.get(candidate.family());
-		boolean known = durations != null && durations.canTell(MOST_OUTLIVING);
+		boolean known = durations != null && durations.canEstimate(MOST_OUTLIVING);
 		double outliving = known ? durations.ratioLongerThan(leftMs, inProgressMs) : -1;
 		boolean inTime = schedule.servesRequests(nowMs);
 		boolean endedInTime = candidate.longestMs() <= leftMs;
 		// What was seen may speak against an attempt, and be too little to speak for a
 		// late one.
-		boolean knownWell = known && durations.canTell(mostOutliving) && leftMs >= LEAST_LEFT_MS;
+		boolean knownWell = known && durations.canEstimate(mostOutliving) && leftMs >= LEAST_LEFT_MS;
 		boolean likelyEnds = (inTime || knownWell) && outliving <= mostOutliving;
 		boolean ratherCut = inTime || (candidate.again() && candidate.repeatable());
 		boolean hasNowhereElse = candidate.resumed() || !others.suffice();
--- a/whinjunction-router/src/test/java/io/whinjunction/router/RecentDurationsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/RecentDurationsTests.java
@@ -25,10 +25,10 @@
 
 	@Test
 	void tooFewRequestsTellNothing() {
-		assertThat(withDurations(100, 19).canTell(0.05)).isFalse();
-		assertThat(withDurations(100, 20).canTell(0.05)).isTrue();
-		assertThat(withDurations(100, 99).canTell(0.01)).isFalse();
-		assertThat(withDurations(100, 100).canTell(0.01)).isTrue();
+		assertThat(withDurations(100, 19).canEstimate(0.05)).isFalse();
+		assertThat(withDurations(100, 20).canEstimate(0.05)).isTrue();
+		assertThat(withDurations(100, 99).canEstimate(0.01)).isFalse();
+		assertThat(withDurations(100, 100).canEstimate(0.01)).isTrue();
 	}
 
 	// Drafts are begun by a process that stops soon after its start, and cut: only short
