--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
@@ -189,7 +189,7 @@
 	private double usedPart(ModelProfile profile, Engine engine) {
 		UpstreamState state = this.router.directory().find(engine.id());
 		boolean holds = state != null && state.upstream().held() != null;
-		return holds ? this.router.chooser().usedPart(profile, engine.kind(), state, this.router.nowMs()) : 0;
+		return holds ? this.router.chooser().usedRatio(profile, engine.kind(), state, this.router.nowMs()) : 0;
 	}
 
 	private Set<String> unsettled(String service, List<Engine> engines) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -127,9 +127,9 @@
 			if (state.upstream().held() == null || kind == null || wish.tried().contains(state.incarnation())) {
 				continue;
 			}
-			double usedPart = usedPart(profile, kind, state, nowMs);
-			if (!wish.mustFit() || !full(profile, kind, state.upstream().held(), usedPart)) {
-				PathCosts.Load load = new PathCosts.Load(usedPart, (double) routers * state.unreadTokens(),
+			double usedRatio = usedRatio(profile, kind, state, nowMs);
+			if (!wish.mustFit() || !full(profile, kind, state.upstream().held(), usedRatio)) {
+				PathCosts.Load load = new PathCosts.Load(usedRatio, (double) routers * state.unreadTokens(),
 						pace(state, nowMs), state.avoided(nowMs));
 				candidates.add(PathCosts.rate(profile, engine(state, kind), load, wish.tokens()));
 			}
@@ -152,8 +152,8 @@
 				false);
 	}
 
-	private static boolean full(ModelProfile profile, EngineKind kind, LayerRange held, double usedPart) {
-		return Crowding.full(usedPart, profile.roomTokens(kind, held.end() - held.first()));
+	private static boolean full(ModelProfile profile, EngineKind kind, LayerRange held, double usedRatio) {
+		return Crowding.full(usedRatio, profile.roomTokens(kind, held.end() - held.first()));
 	}
 
 	/**
@@ -164,7 +164,7 @@
 	 * @param nowMs the time
 	 * @return 0 where it is free, 1 and more where it is full
 	 */
-	double usedPart(ModelProfile profile, EngineKind kind, UpstreamState state, long nowMs) {
+	double usedRatio(ModelProfile profile, EngineKind kind, UpstreamState state, long nowMs) {
 		LayerRange held = state.upstream().held();
 		double room = profile.roomTokenLayers(kind, held.end() - held.first());
 		double used = state.tokenLayers() + this.peers.tokenLayersAt(state.incarnation(), nowMs);
