--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -230,13 +230,13 @@
 	 * The mean pause between what comes of the stream.
 	 * @return milliseconds; very large before the first event, when the prompt is read
 	 */
-	double usualGapMs() {
+	double meanGapMs() {
 		return gapsKnown() ? (double) (this.progressAtMs - this.firstAtMs) / (this.pieces - 1) : Double.MAX_VALUE;
 	}
 
 	/**
 	 * Whether enough events came to tell the pause between them.
-	 * @return whether {@link #usualGapMs()} is a measured one
+	 * @return whether {@link #meanGapMs()} is a measured one
 	 */
 	boolean gapsKnown() {
 		return this.pieces > 1;
