--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -231,14 +231,14 @@
 	 * @return milliseconds; very large before the first event, when the prompt is read
 	 */
 	double meanGapMs() {
-		return gapsKnown() ? (double) (this.progressAtMs - this.firstAtMs) / (this.pieces - 1) : Double.MAX_VALUE;
+		return hasMeanGap() ? (double) (this.progressAtMs - this.firstAtMs) / (this.pieces - 1) : Double.MAX_VALUE;
 	}
 
 	/**
 	 * Whether enough events came to tell the pause between them.
 	 * @return whether {@link #meanGapMs()} is a measured one
 	 */
-	boolean gapsKnown() {
+	boolean hasMeanGap() {
 		return this.pieces > 1;
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
@@ -211,7 +211,7 @@
 	}
 
 	private static StallRules.Pause pause(Attempt stream, List<String> engineIds, long nowMs) {
-		return new StallRules.Pause(engineIds, stream.gapsKnown(), stream.meanGapMs(), nowMs - stream.progressAtMs());
+		return new StallRules.Pause(engineIds, stream.hasMeanGap(), stream.meanGapMs(), nowMs - stream.progressAtMs());
 	}
 
 	private void moveFromSuspects(Map<Attempt, StallRules.Pause> pauses) {
