--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
@@ -54,7 +54,7 @@
 
 	private boolean failed;
 
-	private long keptMs = -1;
+	private long keepAliveMs = -1;
 
 	private long idleSinceMs;
 
@@ -77,7 +77,7 @@
 	}
 
 	boolean usable(long nowMs, long mostIdleMs) {
-		long limitMs = (this.keptMs >= 0) ? Math.min(mostIdleMs, this.keptMs / 2) : mostIdleMs;
+		long limitMs = (this.keepAliveMs >= 0) ? Math.min(mostIdleMs, this.keepAliveMs / 2) : mostIdleMs;
 		return this.channel.isActive() && nowMs - this.idleSinceMs < limitMs;
 	}
 
@@ -161,7 +161,7 @@
 		this.headRead = true;
 		this.keepAlive = HttpUtil.isKeepAlive(response)
 				&& (HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response));
-		this.keptMs = head.keptMs();
+		this.keepAliveMs = head.keepAliveMs();
 		this.listener.onHead(head, response);
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamHead.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamHead.java
@@ -9,13 +9,13 @@
  * @param genuine whether a success bears the mark that only the upstream can make and no
  * encoding that the caller did not ask for
  * @param faultyAddress the upstream on the path that made it fail, or {@code null}
- * @param keptMs how long the upstream keeps the idle connection, in milliseconds; -1
+ * @param keepAliveMs how long the upstream keeps the idle connection, in milliseconds; -1
  * where it doesn't say
  * @param limitPerSecond the requests a second that the upstream takes from all routers
  * together; -1 where it names no limit
  */
 public record UpstreamHead(String requestId, int status, boolean notRun, boolean genuine, String faultyAddress,
-		long keptMs, double limitPerSecond) {
+		long keepAliveMs, double limitPerSecond) {
 
 	/**
 	 * Whether it is a success.
