--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallerRequest.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallerRequest.java
@@ -11,7 +11,7 @@
  * @param uri path and query as sent
  * @param host the {@code Host} header
  * @param key the key that the caller presents, or {@code null}
- * @param patienceMs how long the caller will wait from now, in milliseconds; -1 where it
+ * @param maxWaitMs how long the caller will wait from now, in milliseconds; -1 where it
  * doesn't say
  * @param promptTokens tokens of the prompt; 0 where it doesn't say
  * @param answerTokens the most tokens of the answer; 0 where it doesn't say
@@ -19,7 +19,7 @@
  * @param forwarded the headers that upstreams get, without those of one connection, the
  * key and those that a router sets itself
  */
-public record CallerRequest(String id, String method, String uri, String host, String key, long patienceMs,
+public record CallerRequest(String id, String method, String uri, String host, String key, long maxWaitMs,
 		int promptTokens, int answerTokens, String lastEventId, HttpHeaders forwarded) {
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -42,7 +42,7 @@
 	/**
 	 * A caller that doesn't say how long it waits is given this long, in milliseconds.
 	 */
-	private static final long DEFAULT_PATIENCE_MS = 30_000;
+	private static final long DEFAULT_MAX_WAIT_MS = 30_000;
 
 	/** The reason of what ends, or doesn't begin, since this process stops. */
 	private static final String STOPPING = "stopping";
@@ -120,9 +120,9 @@
 		this.team = admitted.team();
 		this.service = admitted.service();
 		this.router.budget(this.service.name()).requested(this.startedMs);
-		long patienceMs = (this.request.patienceMs() >= 0) ? this.request.patienceMs() : DEFAULT_PATIENCE_MS;
-		this.deadlineMs = this.startedMs + patienceMs;
-		long limitMs = Math.min(patienceMs, this.route.limits().timeoutMs());
+		long maxWaitMs = (this.request.maxWaitMs() >= 0) ? this.request.maxWaitMs() : DEFAULT_MAX_WAIT_MS;
+		this.deadlineMs = this.startedMs + maxWaitMs;
+		long limitMs = Math.min(maxWaitMs, this.route.limits().timeoutMs());
 		this.timeout = this.router.loop().schedule(this::onTimeout, Math.max(0, limitMs), TimeUnit.MILLISECONDS);
 	}
 
