--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -107,7 +107,7 @@
 	/** Judges the head; the first attempt waits for the body. */
 	void start() {
 		switch (RequestGate.judge(this.router, this.request, this.body.announcedBytes())) {
-			case RequestGate.Verdict.TurnedAway away -> {
+			case RequestGate.Verdict.Rejected away -> {
 				this.route = away.route();
 				finish(away.outcome(), away.reason(), away.answer());
 			}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
@@ -50,7 +50,7 @@
 			return denied(router, route, "unknown-key", HttpResponseStatus.UNAUTHORIZED, "the key is not known");
 		}
 		if (announcedBytes > configuration.limits().maxBodyBytes()) {
-			return new Verdict.TurnedAway(route, "denied", "too-large", tooLarge());
+			return new Verdict.Rejected(route, "denied", "too-large", tooLarge());
 		}
 		RoutedService service = configuration.service(route.serviceFor(request.id().hashCode()));
 		if (service == null) {
@@ -68,7 +68,7 @@
 	}
 
 	private static Verdict refused(Route route, String reason, String sentence) {
-		return new Verdict.TurnedAway(route, "refused", reason, Answer.refusal(sentence, RETRY_ELSEWHERE_MS));
+		return new Verdict.Rejected(route, "refused", reason, Answer.refusal(sentence, RETRY_ELSEWHERE_MS));
 	}
 
 	private static Verdict denied(RouterContext router, Route route, String reason, HttpResponseStatus status,
@@ -77,7 +77,7 @@
 		if (!proof.maySayNo(router.bootMs())) {
 			return refused(route, "unproved-" + reason, sentence);
 		}
-		return new Verdict.TurnedAway(route, "denied", reason, Answer.own(status, sentence));
+		return new Verdict.Rejected(route, "denied", reason, Answer.own(status, sentence));
 	}
 
 	/** What became of a head. */
@@ -101,7 +101,7 @@
 		 * @param reason why
 		 * @param answer what the caller gets
 		 */
-		record TurnedAway(Route route, String outcome, String reason, Answer answer) implements Verdict {
+		record Rejected(Route route, String outcome, String reason, Answer answer) implements Verdict {
 		}
 
 	}
