--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -277,9 +277,9 @@
 	private Optional<Target> chooseTarget() {
 		Set<String> sentTo = this.history.sentTo();
 		boolean again = RetryPolicy.onlyTriedOnes(this.route, sentTo.size());
-		TargetChooser.Wish wish = new TargetChooser.Wish(this.service, expectedTokens(), this.history.failedAt(),
+		TargetChooser.Criteria criteria = new TargetChooser.Criteria(this.service, expectedTokens(), this.history.failedAt(),
 				again ? sentTo : null, !this.answerBegun);
-		return this.router.chooser().choose(wish, this.router.nowMs());
+		return this.router.chooser().choose(criteria, this.router.nowMs());
 	}
 
 	/**
@@ -365,9 +365,9 @@
 		if (faulty != null) {
 			this.history.failedAt(faulty.incarnation());
 		}
-		TargetChooser.Wish wish = new TargetChooser.Wish(this.service, expectedTokens(), this.history.failedAt(), null,
+		TargetChooser.Criteria criteria = new TargetChooser.Criteria(this.service, expectedTokens(), this.history.failedAt(), null,
 				false);
-		return this.router.chooser().detour(wish, first, this.router.nowMs());
+		return this.router.chooser().detour(criteria, first, this.router.nowMs());
 	}
 
 	private boolean repeatGranted() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -56,15 +56,15 @@
 
 	/**
 	 * Chooses.
-	 * @param wish what is needed
+	 * @param criteria what is needed
 	 * @param nowMs the time
 	 * @return the target, or empty where nothing can serve the request now
 	 */
-	Optional<Target> choose(Wish wish, long nowMs) {
-		if (wish.service().chained()) {
-			return chain(wish, nowMs);
+	Optional<Target> choose(Criteria criteria, long nowMs) {
+		if (criteria.service().chained()) {
+			return chain(criteria, nowMs);
 		}
-		return (wish.onlyFirst() != null) ? chooseAgain(wish.onlyFirst()) : single(wish, nowMs);
+		return (criteria.onlyFirst() != null) ? chooseAgain(criteria.onlyFirst()) : single(criteria, nowMs);
 	}
 
 	private Optional<Target> chooseAgain(Set<String> tried) {
@@ -75,63 +75,63 @@
 			.map((state) -> new Target(state.upstream(), List.of()));
 	}
 
-	private Optional<Target> single(Wish wish, long nowMs) {
-		Set<String> tried = wish.tried();
+	private Optional<Target> single(Criteria criteria, long nowMs) {
+		Set<String> tried = criteria.tried();
 		Comparator<UpstreamState> order = Comparator
 			.comparing((UpstreamState state) -> tried.contains(state.incarnation()))
 			.thenComparing((state) -> state.avoided(nowMs))
 			.thenComparingInt(UpstreamState::requests)
 			.thenComparing((state) -> !state.upstream().failureDomain().equals(this.failureDomain))
 			.thenComparing((state) -> state.incarnation());
-		return this.directory.staying(wish.service().name())
+		return this.directory.staying(criteria.service().name())
 			.stream()
 			.filter((state) -> !tried.contains(state.incarnation()) && takesMore(state))
 			.min(order)
 			.map((state) -> new Target(state.upstream(), List.of()));
 	}
 
-	private Optional<Target> chain(Wish wish, long nowMs) {
-		Predicate<Engine> mayStart = (engine) -> (wish.onlyFirst() == null || wish.onlyFirst().contains(engine.id()))
+	private Optional<Target> chain(Criteria criteria, long nowMs) {
+		Predicate<Engine> mayStart = (engine) -> (criteria.onlyFirst() == null || criteria.onlyFirst().contains(engine.id()))
 				&& this.limits.allows(engine.id());
 		return PathFinder
-			.find(wish.service().model(), candidates(wish, nowMs), PathFinder.Start.whole(this.failureDomain, mayStart))
+			.find(criteria.service().model(), candidates(criteria, nowMs), PathFinder.Start.whole(this.failureDomain, mayStart))
 			.map(this::target);
 	}
 
 	/**
 	 * Chooses another path whose first hop stays.
-	 * @param wish what is needed
+	 * @param criteria what is needed
 	 * @param first the first hop
 	 * @param nowMs the time
 	 * @return the whole path, or empty where there is none
 	 */
-	Optional<List<Hop>> detour(Wish wish, Hop first, long nowMs) {
-		List<PathFinder.Candidate> others = candidates(wish, nowMs);
+	Optional<List<Hop>> detour(Criteria criteria, Hop first, long nowMs) {
+		List<PathFinder.Candidate> others = candidates(criteria, nowMs);
 		others.removeIf((candidate) -> candidate.engine().id().equals(first.engine().id()));
-		return PathFinder.find(wish.service().model(), others, PathFinder.Start.after(first)).map((rest) -> {
+		return PathFinder.find(criteria.service().model(), others, PathFinder.Start.after(first)).map((rest) -> {
 			List<Hop> path = new ArrayList<>(List.of(first));
 			path.addAll(rest);
 			return path;
 		});
 	}
 
-	private List<PathFinder.Candidate> candidates(Wish wish, long nowMs) {
-		ModelProfile profile = wish.service().model();
+	private List<PathFinder.Candidate> candidates(Criteria criteria, long nowMs) {
+		ModelProfile profile = criteria.service().model();
 		// All routers decide alone and much alike: what this one has just sent to an
 		// engine, the others have too, and prompts that all go the same way after a loss
 		// are read one after the other.
 		int routers = 1 + this.peers.heardLately(nowMs);
 		List<PathFinder.Candidate> candidates = new ArrayList<>();
-		for (UpstreamState state : this.directory.staying(wish.service().name())) {
+		for (UpstreamState state : this.directory.staying(criteria.service().name())) {
 			EngineKind kind = profile.kinds().get(state.upstream().kind());
-			if (state.upstream().held() == null || kind == null || wish.tried().contains(state.incarnation())) {
+			if (state.upstream().held() == null || kind == null || criteria.tried().contains(state.incarnation())) {
 				continue;
 			}
 			double usedRatio = usedRatio(profile, kind, state, nowMs);
-			if (!wish.mustFit() || !full(profile, kind, state.upstream().held(), usedRatio)) {
+			if (!criteria.mustFit() || !full(profile, kind, state.upstream().held(), usedRatio)) {
 				PathCosts.Load load = new PathCosts.Load(usedRatio, (double) routers * state.unreadTokens(),
 						pace(state, nowMs), state.avoided(nowMs));
-				candidates.add(PathCosts.rate(profile, engine(state, kind), load, wish.tokens()));
+				candidates.add(PathCosts.rate(profile, engine(state, kind), load, criteria.tokens()));
 			}
 		}
 		return candidates;
@@ -186,7 +186,7 @@
 	 * any
 	 * @param mustFit whether it is rather turned away than sent to an engine that is full
 	 */
-	record Wish(RoutedService service, int tokens, Set<String> tried, Set<String> onlyFirst, boolean mustFit) {
+	record Criteria(RoutedService service, int tokens, Set<String> tried, Set<String> onlyFirst, boolean mustFit) {
 	}
 
 }
