--- a/whinjunction-router/src/main/java/io/whinjunction/router/Answer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Answer.java
@@ -24,7 +24,7 @@
 	 * @param sentence what happened, for people
 	 * @return the answer
 	 */
-	static Answer own(HttpResponseStatus status, String sentence) {
+	static Answer error(HttpResponseStatus status, String sentence) {
 		HttpHeaders headers = new DefaultHttpHeaders();
 		headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
 		String json = "{\"error\":\"" + sentence + "\"}";
@@ -38,7 +38,7 @@
 	 * @return the answer
 	 */
 	static Answer refusal(String sentence, long retryAfterMs) {
-		Answer answer = own(HttpResponseStatus.SERVICE_UNAVAILABLE, sentence);
+		Answer answer = error(HttpResponseStatus.SERVICE_UNAVAILABLE, sentence);
 		answer.headers.set(HttpHeaderNames.RETRY_AFTER, Double.toString(retryAfterMs / 1000.0));
 		return answer;
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
@@ -139,7 +139,7 @@
 		logger.atInfo().log("event=refused-head status=%d reason=\"%s\"", status.code(), problem);
 		this.keepAlive = false;
 		this.closing = true;
-		respond(Answer.own(status, problem));
+		respond(Answer.error(status, problem));
 	}
 
 	private void takeBody(HttpContent content) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -189,7 +189,7 @@
 			return;
 		}
 		if (givenUp() instanceof NextStep.Fail) {
-			finish("failed", "timeout", Answer.own(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time"));
+			finish("failed", "timeout", Answer.error(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time"));
 		}
 		else {
 			finish("refused", "timeout", Answer.refusal("it could not be handed on in time", RETRY_AFTER_MS));
@@ -413,7 +413,7 @@
 			finish("refused", reason, Answer.refusal("it was not run: " + reason, retryAfterMs));
 		}
 		else {
-			finish("failed", reason, Answer.own(HttpResponseStatus.BAD_GATEWAY, "it may have run: " + reason));
+			finish("failed", reason, Answer.error(HttpResponseStatus.BAD_GATEWAY, "it may have run: " + reason));
 		}
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
@@ -64,7 +64,7 @@
 	 * @return the answer
 	 */
 	static Answer tooLarge() {
-		return Answer.own(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is larger than is allowed");
+		return Answer.error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is larger than is allowed");
 	}
 
 	private static Verdict refused(Route route, String reason, String sentence) {
@@ -77,7 +77,7 @@
 		if (!proof.maySayNo(router.bootMs())) {
 			return refused(route, "unproved-" + reason, sentence);
 		}
-		return new Verdict.Rejected(route, "denied", reason, Answer.own(status, sentence));
+		return new Verdict.Rejected(route, "denied", reason, Answer.error(status, sentence));
 	}
 
 	/** What became of a head. */
