--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -374,9 +374,9 @@
 	}
 
 	@Override
-	public void onPause() {
+	public void onReadComplete() {
 		if (!this.ended) {
-			this.session.onPause();
+			this.session.onReadComplete();
 		}
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -480,7 +480,7 @@
 	}
 
 	/** What was written goes out; the upstream is slowed where the caller is slow. */
-	void onPause() {
+	void onReadComplete() {
 		if (this.answerBegun) {
 			this.caller.flush();
 			if (!this.caller.writable() && this.attempt != null) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
@@ -198,7 +198,7 @@
 	@Override
 	public void channelReadComplete(ChannelHandlerContext context) {
 		if (this.listener != null) {
-			this.listener.onPause();
+			this.listener.onReadComplete();
 		}
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListener.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListener.java
@@ -23,7 +23,7 @@
 	void onContent(ByteBuf content);
 
 	/** All that could be read at once was handed over. */
-	void onPause();
+	void onReadComplete();
 
 	/** The whole response came. */
 	void onEnd();
