--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
@@ -129,7 +129,7 @@
 	}
 
 	/** The store has come back from an older copy: what was written may be gone. */
-	void storeReturned() {
+	void storeRestored() {
 		this.stored.clear();
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -258,7 +258,7 @@
 		this.leadership.storeReturned();
 		this.configurationKeeper.storeReturned();
 		this.directoryKeeper.storeReturned();
-		this.crashGuard.records().storeReturned();
+		this.crashGuard.records().storeRestored();
 		long spreadMs = ANNOUNCE_SPREAD_MS_PER_ROUTER * this.peers.sharers(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(spreadMs), TimeUnit.MILLISECONDS);
 	}
