--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -70,7 +70,7 @@
 	private Optional<Target> chooseAgain(Set<String> tried) {
 		return tried.stream()
 			.map(this.directory::find)
-			.filter((state) -> state != null && !state.upstream().leaving() && takesMore(state))
+			.filter((state) -> state != null && !state.upstream().leaving() && withinLimit(state))
 			.min(Comparator.comparingInt(UpstreamState::requests))
 			.map((state) -> new Target(state.upstream(), List.of()));
 	}
@@ -85,7 +85,7 @@
 			.thenComparing((state) -> state.incarnation());
 		return this.directory.staying(criteria.service().name())
 			.stream()
-			.filter((state) -> !tried.contains(state.incarnation()) && takesMore(state))
+			.filter((state) -> !tried.contains(state.incarnation()) && withinLimit(state))
 			.min(order)
 			.map((state) -> new Target(state.upstream(), List.of()));
 	}
@@ -137,7 +137,7 @@
 		return candidates;
 	}
 
-	private boolean takesMore(UpstreamState state) {
+	private boolean withinLimit(UpstreamState state) {
 		return this.limits.allows(state.incarnation());
 	}
 
