--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -23,22 +23,25 @@
 import io.whinjunction.routing.RequestKind;
 
 /**
- * One send of a request to one upstream.
+ * Sends a request to one upstream once and handles the response.
  * <p>
- * Invariants: its end is told once; from the moment at which a byte was handed to a
- * connected channel it counts as sent, and unless the upstream itself says otherwise, as
- * something that may have run. Confined to the event loop.
+ * Invariants: the end is reported exactly once; from the moment a byte was written to a
+ * connected channel the attempt counts as sent, and as one that may have run unless the
+ * upstream itself states otherwise. Confined to the event loop.
  */
 final class Attempt implements UpstreamListener {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** Answers up to this size are read whole before they are passed on, in bytes. */
-	private static final int WHOLE_ANSWER_BYTES = 262_144;
+	/**
+	 * Answers up to this size are buffered completely before they are passed on, in
+	 * bytes.
+	 */
+	private static final int MAX_BUFFERED_ANSWER_BYTES = 262_144;
 
 	/**
-	 * A request that crashes an upstream does so in its first steps there, before it has
-	 * brought events for this long, in milliseconds.
+	 * How long a request must have produced events before it counts as harmless, in
+	 * milliseconds. A request that crashes an upstream does so in its first steps there.
 	 */
 	private static final long HARMLESS_AFTER_MS = 500;
 
@@ -46,7 +49,9 @@
 
 	private Target target;
 
-	/** The incarnation of the upstream that has the request; no detour changes it. */
+	/**
+	 * The incarnation of the upstream that has the request; a detour does not change it.
+	 */
 	private final String first;
 
 	private final EngineLoad load;
@@ -65,7 +70,7 @@
 
 	private boolean detouring;
 
-	private int pieces;
+	private int eventBatches;
 
 	private long firstAtMs;
 
@@ -88,8 +93,8 @@
 	}
 
 	/**
-	 * Whether an upstream has the request and may answer it yet.
-	 * @return {@code false} before it is sent and after its end
+	 * Whether the request was sent to an upstream and may still be answered.
+	 * @return {@code false} before it is sent and after the attempt ended
 	 */
 	boolean underWay() {
 		return this.sent && !this.ended;
@@ -98,9 +103,9 @@
 	void start() {
 		this.load.began();
 		this.session.router().limits().sent(this.first);
-		// A kept connection may end at the very moment at which a request is written to
-		// it, and then nobody knows whether it ran. What must not be repeated gets a new
-		// one, which costs a millisecond.
+		// A pooled connection may close at the very moment at which a request is written
+		// to it, which leaves unknown whether the request ran. A request that must not be
+		// repeated gets a new connection, which costs a millisecond.
 		boolean fresh = !this.session.route().repeatable();
 		this.session.router().pool().acquire(this.target.first(), fresh, this::connected);
 	}
@@ -127,7 +132,7 @@
 			notSent("unproved-keys");
 			return;
 		}
-		// Connecting may take a while, and the process may have been suspended meanwhile.
+		// Connecting takes time, and the process may have been suspended meanwhile.
 		if (this.session.outlivesRouter()) {
 			connected.channel().close();
 			notSent("stopping");
@@ -138,7 +143,7 @@
 	}
 
 	private void notSent(String reason) {
-		this.session.history().notSentOnce();
+		this.session.history().recordNotSent();
 		end(new AttemptEnd.NotSent(reason), null);
 	}
 
@@ -149,7 +154,7 @@
 			this.session.router().watch().add(this);
 			this.load.readingBegan();
 		}
-		this.session.history().sentTo(this.first);
+		this.session.history().recordSent(this.first);
 		CallerRequest request = this.session.request();
 		this.connection.begin(request.id(), this);
 		HttpHeaders headers = new DefaultHttpHeaders();
@@ -158,10 +163,10 @@
 		this.session.router().dialect().addForwardingHeaders(headers, forwardingContext());
 		HttpMethod method = HttpMethod.valueOf(request.method());
 		if (!this.session.body().passingThrough()) {
-			sendWhole(method, headers);
+			sendBuffered(method, headers);
 		}
 		else {
-			sendBegin(method, headers);
+			sendStreamed(method, headers);
 		}
 	}
 
@@ -174,8 +179,8 @@
 				this.session.priority(), this.target.path(), lastEventId);
 	}
 
-	private void sendWhole(HttpMethod method, HttpHeaders headers) {
-		ByteBuf body = this.session.body().soFar();
+	private void sendBuffered(HttpMethod method, HttpHeaders headers) {
+		ByteBuf body = this.session.body().buffered();
 		if (body.isReadable() || HttpMethod.POST.equals(method) || HttpMethod.PUT.equals(method)) {
 			headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
 		}
@@ -185,9 +190,9 @@
 		this.connection.requestWritten();
 	}
 
-	private void sendBegin(HttpMethod method, HttpHeaders headers) {
-		if (this.session.body().announcedBytes() >= 0) {
-			headers.set(HttpHeaderNames.CONTENT_LENGTH, this.session.body().announcedBytes());
+	private void sendStreamed(HttpMethod method, HttpHeaders headers) {
+		if (this.session.body().contentLength() >= 0) {
+			headers.set(HttpHeaderNames.CONTENT_LENGTH, this.session.body().contentLength());
 		}
 		else {
 			headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -195,7 +200,7 @@
 		this.connection.channel()
 			.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, this.session.request().uri(), headers));
 		this.connection.channel()
-			.writeAndFlush(new DefaultHttpContent(Unpooled.unreleasableBuffer(this.session.body().soFar())));
+			.writeAndFlush(new DefaultHttpContent(Unpooled.unreleasableBuffer(this.session.body().buffered())));
 		this.session.caller().reading(true);
 		if (this.session.body().ended()) {
 			sendBodyEnd();
@@ -203,12 +208,12 @@
 	}
 
 	/**
-	 * Passes on a piece of a large body.
-	 * @param content the piece, whose ownership passes on
+	 * Passes on a chunk of a large body.
+	 * @param content the chunk, whose ownership passes on
 	 */
 	void sendBody(ByteBuf content) {
 		if (!this.sent || this.ended) {
-			// Not connected yet: the pieces wait behind those that were read already.
+			// Not connected yet: the chunk is queued behind those that were read before.
 			this.session.body().hold(content);
 			content.release();
 			this.session.caller().reading(false);
@@ -218,7 +223,7 @@
 		onWritable(this.connection.channel().isWritable());
 	}
 
-	/** The body of the request is whole. */
+	/** Completes the body of the request. */
 	void sendBodyEnd() {
 		if (this.sent && !this.ended) {
 			this.connection.channel().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
@@ -227,27 +232,29 @@
 	}
 
 	/**
-	 * The mean pause between what comes of the stream.
-	 * @return milliseconds; very large before the first event, when the prompt is read
+	 * Returns the mean gap between event batches of the stream.
+	 * @return milliseconds; {@link Double#MAX_VALUE} before the second batch, as the
+	 * prompt is still being read before the first
 	 */
 	double meanGapMs() {
-		return hasMeanGap() ? (double) (this.progressAtMs - this.firstAtMs) / (this.pieces - 1) : Double.MAX_VALUE;
+		return hasMeanGap() ? (double) (this.progressAtMs - this.firstAtMs) / (this.eventBatches - 1)
+				: Double.MAX_VALUE;
 	}
 
 	/**
-	 * Whether enough events came to tell the pause between them.
-	 * @return whether {@link #meanGapMs()} is a measured one
+	 * Whether enough events arrived to measure the gap between them.
+	 * @return whether {@link #meanGapMs()} is a measured value
 	 */
 	boolean hasMeanGap() {
-		return this.pieces > 1;
+		return this.eventBatches > 1;
 	}
 
 	/**
-	 * How many times whole events came of the stream.
-	 * @return the number; 0 where the answer is no stream
+	 * Returns how many times complete events arrived on the stream.
+	 * @return the count; 0 if the answer is not a stream
 	 */
-	int pieces() {
-		return this.pieces;
+	int eventBatches() {
+		return this.eventBatches;
 	}
 
 	int promptTokens() {
@@ -255,7 +262,8 @@
 	}
 
 	/**
-	 * When the last event came, or the request was sent.
+	 * Returns the time at which the last event arrived or, before the first event, the
+	 * request was sent.
 	 * @return the time in milliseconds
 	 */
 	long progressAtMs() {
@@ -263,38 +271,38 @@
 	}
 
 	/**
-	 * It waits for an engine that doesn't answer. Where the first engine lives and the
-	 * rest of its failure domain still covers all layers, it is told of another path:
-	 * only the new engines read what came so far, and no repeat is spent. A path through
-	 * another failure domain would send the whole context over the pipe that all share,
-	 * 26 ms each for fifty streams at once, so a stream rather begins anew there as a
-	 * whole.
-	 * @param address the engine
+	 * Reacts to an engine on the path that does not respond. If the first engine is alive
+	 * and the rest of its failure domain still covers all layers, the attempt is ordered
+	 * onto another path: only the new engines read the context so far, and no repeat is
+	 * spent. A path through another failure domain would send the whole context over the
+	 * pipe that all streams share, 26 ms each for fifty streams at once, so in that case
+	 * the stream rather starts anew there as a whole.
+	 * @param address the stalled engine
 	 */
 	void stalled(String address) {
 		if (this.detouring) {
 			return;
 		}
 		Hop first = this.target.path().getFirst();
-		Optional<List<Hop>> detour = (this.pieces > 0 && !first.engine().address().equals(address))
+		Optional<List<Hop>> detour = (this.eventBatches > 0 && !first.engine().address().equals(address))
 				? this.session.detour(address, first) : Optional.empty();
 		if (detour.isPresent() && Target.domainChanges(detour.get()) == 0) {
-			order(address, detour.get());
+			orderDetour(address, detour.get());
 		}
-		else if (!this.session.moveElsewhere(address)) {
-			detour.ifPresentOrElse((path) -> order(address, path), () -> this.session.onStalled(address));
+		else if (!this.session.failOver(address)) {
+			detour.ifPresentOrElse((path) -> orderDetour(address, path), () -> this.session.onStalled(address));
 		}
 	}
 
-	private void order(String address, List<Hop> path) {
+	private void orderDetour(String address, List<Hop> path) {
 		this.detouring = true;
 		this.session.router()
 			.engines()
 			.repath(this.target.first().address(), this.session.request().id(), path,
-					(reply) -> detoured(address, path, reply));
+					(reply) -> onDetourReply(address, path, reply));
 	}
 
-	private void detoured(String address, List<Hop> path, OrderReply reply) {
+	private void onDetourReply(String address, List<Hop> path, OrderReply reply) {
 		if (this.ended) {
 			return;
 		}
@@ -312,11 +320,12 @@
 		}
 	}
 
-	/** Gives the attempt up; the upstream is told by the end of its connection. */
+	/** Abandons the attempt; the upstream notices it by the close of its connection. */
 	void abandon() {
 		if (!this.ended) {
 			settle();
-			// What another attempt sends would be joined to an event that this one began.
+			// Otherwise the bytes of the next attempt would be appended to the partial
+			// event of this one.
 			this.session.events().dropPartial();
 			if (this.connection != null) {
 				this.connection.abandon();
@@ -325,8 +334,8 @@
 	}
 
 	/**
-	 * Lets the upstream send, or makes it wait.
-	 * @param reading whether it may send
+	 * Turns reading from the upstream on or off.
+	 * @param reading whether to read
 	 */
 	void reading(boolean reading) {
 		if (this.connection != null && !this.ended) {
@@ -351,8 +360,8 @@
 			return;
 		}
 		if (!this.streaming) {
-			if (this.answer.body().readableBytes() + content.readableBytes() > WHOLE_ANSWER_BYTES && this.head.success()
-					&& this.head.genuine()) {
+			if (this.answer.body().readableBytes() + content.readableBytes() > MAX_BUFFERED_ANSWER_BYTES
+					&& this.head.success() && this.head.genuine()) {
 				this.session.onEvents(this.answer, this.answer.body().readBytes(this.answer.body().readableBytes()));
 				this.session.onEvents(this.answer, content.retain());
 				return;
@@ -360,16 +369,16 @@
 			this.answer.body().writeBytes(content);
 			return;
 		}
-		ByteBuf whole = this.session.events().take(content);
-		if (whole != null) {
+		ByteBuf events = this.session.events().take(content);
+		if (events != null) {
 			this.progressAtMs = this.session.router().nowMs();
-			if (this.pieces == 0) {
+			if (this.eventBatches == 0) {
 				this.firstAtMs = this.progressAtMs;
 				this.load.readingEnded();
 			}
-			this.pieces++;
+			this.eventBatches++;
 			this.session.router().crashGuard().answered(this.first);
-			this.session.onEvents(this.answer, whole);
+			this.session.onEvents(this.answer, events);
 		}
 	}
 
@@ -398,7 +407,7 @@
 			endLargeOrResumed();
 		}
 		else {
-			endWhole();
+			endBuffered();
 		}
 	}
 
@@ -422,7 +431,7 @@
 		}
 	}
 
-	private void endWhole() {
+	private void endBuffered() {
 		settle();
 		boolean failure = this.head.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
 		if (failure && this.session.route().repeatable()) {
@@ -442,19 +451,20 @@
 		settle();
 		boolean refused = this.head != null && this.head.notRun();
 		if (connectionEnded && !refused) {
-			judgeCrash();
+			recordPossibleCrash();
 		}
 		this.session.onAttemptEnd(refused ? new AttemptEnd.NotRun(reason) : new AttemptEnd.Unknown(reason),
 				(this.head != null) ? this.head.faultyAddress() : null);
 	}
 
-	// The upstream may have ended under the request, unless this ran there for a while.
-	private void judgeCrash() {
-		if (this.pieces > 0 && this.session.router().nowMs() - this.firstAtMs >= HARMLESS_AFTER_MS) {
+	// The request may have crashed the upstream, unless it had already run there for a
+	// while.
+	private void recordPossibleCrash() {
+		if (this.eventBatches > 0 && this.session.router().nowMs() - this.firstAtMs >= HARMLESS_AFTER_MS) {
 			this.session.ranWell();
 		}
 		else {
-			this.session.upstreamEnded(this.target.first(), this.streaming && this.pieces == 0);
+			this.session.recordCrash(this.target.first(), this.streaming && this.eventBatches == 0);
 		}
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
@@ -8,10 +8,10 @@
 import io.whinjunction.forward.RetryPolicy;
 
 /**
- * What became of the attempts of one request so far.
+ * Outcomes of the attempts of one request so far.
  * <p>
- * Invariants: what may have run once may have run for good; an upstream that made the
- * request fail stays among those that did. Confined to the event loop.
+ * Invariants: once the request may have run, that stays so; an upstream that made the
+ * request fail stays in the set of those that did. Confined to the event loop.
  */
 final class AttemptHistory {
 
@@ -26,37 +26,37 @@
 	private boolean mayHaveRun;
 
 	/**
-	 * The request was handed to an upstream.
+	 * Records that the request was sent to an upstream.
 	 * @param incarnation the upstream
 	 */
-	void sentTo(String incarnation) {
+	void recordSent(String incarnation) {
 		this.sent++;
 		this.sentTo.add(incarnation);
 	}
 
-	/** An attempt ended before anything was handed over. */
-	void notSentOnce() {
+	/** Records an attempt that ended before anything was sent. */
+	void recordNotSent() {
 		this.notSent++;
 	}
 
 	/**
-	 * An upstream made the request fail.
+	 * Records that an upstream made the request fail.
 	 * @param incarnation the upstream
 	 */
-	void failedAt(String incarnation) {
+	void recordFailure(String incarnation) {
 		this.failedAt.add(incarnation);
 	}
 
 	/**
-	 * An attempt ended.
-	 * @param end how
+	 * Records the end of an attempt.
+	 * @param end how it ended
 	 */
-	void ended(AttemptEnd end) {
+	void recordEnd(AttemptEnd end) {
 		this.mayHaveRun |= end instanceof AttemptEnd.Unknown || end instanceof AttemptEnd.Failed;
 	}
 
 	/**
-	 * Upstreams that made the request fail.
+	 * Returns the upstreams that made the request fail.
 	 * @return their incarnations; a live view
 	 */
 	Set<String> failedAt() {
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Upstreams that have had the request.
+	 * Returns the upstreams to which the request was sent.
 	 * @return their incarnations; a live view
 	 */
 	Set<String> sentTo() {
@@ -84,16 +84,16 @@
 	}
 
 	/**
-	 * What the caller may be told where nothing more is tried.
+	 * Returns what the caller gets if there is no further attempt.
 	 * @param underWay whether an upstream has the request now
-	 * @return a refusal only where nothing can have run
+	 * @return a refusal only if the request cannot have run
 	 */
-	NextStep givenUp(boolean underWay) {
+	NextStep finalStep(boolean underWay) {
 		return (this.mayHaveRun || underWay) ? new NextStep.Fail() : new NextStep.Refuse();
 	}
 
 	/**
-	 * What decides whether the request may be sent again.
+	 * Returns the counts by which the retry policy decides.
 	 * @return the counts
 	 */
 	RetryPolicy.History forRetry() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EventStream.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EventStream.java
@@ -6,17 +6,20 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Cuts an event stream into whole events and knows the last one's name.
+ * Splits an event stream into complete events and tracks the id of the last one.
  * <p>
- * The failure it is there for: an upstream stops in the middle of an event. What was
- * passed on of it could not be taken back, and the next run would repeat it. Only whole
- * events are handed out, so a stream can go on behind the last of them. Confined to the
+ * Guards against an upstream that stops in the middle of an event: the part that was
+ * passed on could not be taken back, and the next run would repeat it. Only complete
+ * events are returned, so a stream can resume after the last of them. Confined to the
  * event loop.
  */
 final class EventStream {
 
-	/** Larger events would be held here whole; none that upstreams make come near it. */
-	private static final int MOST_EVENT_BYTES = 1 << 20;
+	/**
+	 * A larger event is an error, as it would be buffered here completely; upstreams send
+	 * none that comes near this size.
+	 */
+	private static final int MAX_EVENT_BYTES = 1 << 20;
 
 	private final ByteBuf pending = Unpooled.buffer(512);
 
@@ -25,10 +28,11 @@
 	private int events;
 
 	/**
-	 * Takes bytes.
-	 * @param content what came
-	 * @return all events that are whole now, owned by the caller; {@code null} for none
-	 * @throws IllegalStateException where an event is larger than any real one
+	 * Takes in bytes.
+	 * @param content the bytes received
+	 * @return all events that are complete now, owned by the caller; {@code null} if
+	 * there are none
+	 * @throws IllegalStateException if an event is larger than the limit
 	 */
 	ByteBuf take(ByteBuf content) {
 		this.pending.writeBytes(content);
@@ -36,45 +40,45 @@
 		int end = start;
 		int next = eventEnd(start);
 		while (next > 0) {
-			noteId(end, next);
+			recordId(end, next);
 			end = next;
 			next = eventEnd(end);
 		}
 		if (end == start) {
-			if (this.pending.readableBytes() > MOST_EVENT_BYTES) {
-				throw new IllegalStateException("an event of more than " + MOST_EVENT_BYTES + " bytes");
+			if (this.pending.readableBytes() > MAX_EVENT_BYTES) {
+				throw new IllegalStateException("an event of more than " + MAX_EVENT_BYTES + " bytes");
 			}
 			return null;
 		}
-		ByteBuf whole = Unpooled.copiedBuffer(this.pending.readSlice(end - start));
+		ByteBuf complete = Unpooled.copiedBuffer(this.pending.readSlice(end - start));
 		this.pending.discardReadBytes();
-		return whole;
+		return complete;
 	}
 
-	/** Drops the event that was not finished, before another upstream goes on. */
+	/** Drops the incomplete event, before another upstream resumes the stream. */
 	void dropPartial() {
 		this.pending.clear();
 	}
 
 	/**
-	 * Whether an event has begun and not ended.
-	 * @return {@code true} where bytes are held
+	 * Whether an event has begun and is incomplete.
+	 * @return {@code true} if bytes are buffered
 	 */
 	boolean partial() {
 		return this.pending.isReadable();
 	}
 
 	/**
-	 * The name of the last whole event.
-	 * @return the name, or {@code null}
+	 * Returns the id of the last complete event.
+	 * @return the id, or {@code null}
 	 */
 	String lastId() {
 		return this.lastId;
 	}
 
 	/**
-	 * Whole events so far.
-	 * @return how many
+	 * Returns how many events were complete so far.
+	 * @return the count
 	 */
 	int events() {
 		return this.events;
@@ -98,7 +102,7 @@
 		return -1;
 	}
 
-	private void noteId(int from, int end) {
+	private void recordId(int from, int end) {
 		this.events++;
 		int at = from;
 		while (at < end) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -22,32 +22,36 @@
 import io.whinjunction.routing.RoutedTeam;
 
 /**
- * One request from its head to the end of its answer.
+ * Forwards one request, from its head to the end of its answer.
  * <p>
  * Invariants: exactly one answer or abort reaches the caller; at most one attempt is
- * under way; a refusal is sent only where {@link RetryPolicy} says that nothing can have
- * run. Confined to the event loop.
+ * under way; a refusal is sent only if {@link RetryPolicy} finds that the request cannot
+ * have run. Confined to the event loop.
  */
 final class ForwardSession {
 
 	/**
-	 * When to come back where nothing can serve a request now, in milliseconds: a hole is
-	 * found and filled in about this time.
+	 * When a caller may retry if no upstream can serve the request now, in milliseconds:
+	 * a layer gap is detected and filled in about this time.
 	 */
 	private static final long RETRY_AFTER_MS = 500;
 
-	/** An engine that made a request fail is left alone this long, in milliseconds. */
+	/** How long an engine that made a request fail is avoided, in milliseconds. */
 	private static final long AVOID_MS = 700;
 
-	/**
-	 * A caller that doesn't say how long it waits is given this long, in milliseconds.
-	 */
+	/** How long a caller waits that does not state a deadline, in milliseconds. */
 	private static final long DEFAULT_MAX_WAIT_MS = 30_000;
 
-	/** The reason of what ends, or doesn't begin, since this process stops. */
+	/**
+	 * The reason of a request that ends, or an attempt that is not begun, because this
+	 * process is stopping.
+	 */
 	private static final String STOPPING = "stopping";
 
-	/** The reason of what isn't sent, or not waited for, since upstreams end under it. */
+	/**
+	 * The reason of a request that is not sent, or not awaited, because it crashes
+	 * upstreams.
+	 */
 	private static final String CRASHES_UPSTREAMS = "crashes-upstreams";
 
 	private final RouterContext router;
@@ -62,7 +66,7 @@
 
 	private final AttemptHistory history = new AttemptHistory();
 
-	/** {@code null} until the body is read as far as it is kept. */
+	/** {@code null} until the body is read as far as it is buffered. */
 	private RequestFingerprint fingerprint;
 
 	private Route route;
@@ -77,10 +81,10 @@
 
 	private Attempt attempt;
 
-	/** Where the newest attempt began; {@code null} before the first. */
+	/** The initial target of the newest attempt; {@code null} before the first. */
 	private Target lastTarget;
 
-	/** The events of the answer, over all attempts. */
+	/** The events of the answer, across all attempts. */
 	private final EventStream events = new EventStream();
 
 	private Answer failedAnswer;
@@ -90,26 +94,27 @@
 	private boolean done;
 
 	/**
-	 * Whether it was sent although it crashes upstreams, to see whether it still does.
+	 * Whether the request was sent although it crashes upstreams, to check whether it
+	 * still does.
 	 */
-	private boolean triesAgain;
+	private boolean crashRetrial;
 
 	private final StreamProgress progress = new StreamProgress();
 
-	ForwardSession(RouterContext router, CallerConnection caller, CallerRequest request, long announcedBytes) {
+	ForwardSession(RouterContext router, CallerConnection caller, CallerRequest request, long contentLength) {
 		this.router = router;
 		this.caller = caller;
 		this.request = request;
-		this.body = new RequestBody(announcedBytes);
+		this.body = new RequestBody(contentLength);
 		this.startedMs = router.nowMs();
 	}
 
-	/** Judges the head; the first attempt waits for the body. */
+	/** Decides on the head; the first attempt waits for the body. */
 	void start() {
-		switch (RequestGate.judge(this.router, this.request, this.body.announcedBytes())) {
-			case RequestGate.Verdict.Rejected away -> {
-				this.route = away.route();
-				finish(away.outcome(), away.reason(), away.answer());
+		switch (RequestGate.judge(this.router, this.request, this.body.contentLength())) {
+			case RequestGate.Verdict.Rejected rejected -> {
+				this.route = rejected.route();
+				finish(rejected.outcome(), rejected.reason(), rejected.answer());
 			}
 			case RequestGate.Verdict.Admitted admitted -> begin(admitted);
 		}
@@ -127,7 +132,7 @@
 	}
 
 	/**
-	 * A piece of the body came.
+	 * Handles a chunk of the body.
 	 * @param content the bytes; owned by the caller of this method
 	 */
 	void onBody(ByteBuf content) {
@@ -149,7 +154,7 @@
 		}
 	}
 
-	/** The body is whole. */
+	/** Handles the end of the body. */
 	void onBodyEnd() {
 		this.body.end();
 		if (this.done) {
@@ -163,7 +168,7 @@
 		}
 	}
 
-	/** The caller's connection ended: nobody waits for the answer. */
+	/** Handles the close of the caller's connection: nobody waits for the answer. */
 	void onCallerGone() {
 		if (!this.done) {
 			end("gone", "caller-gone");
@@ -171,8 +176,8 @@
 	}
 
 	/**
-	 * The caller takes more of the answer, or doesn't.
-	 * @param writable whether it does
+	 * Handles a change of the writability of the caller's connection.
+	 * @param writable whether the caller accepts more of the answer
 	 */
 	void onCallerWritable(boolean writable) {
 		if (this.attempt != null) {
@@ -188,7 +193,7 @@
 			onAnswerOverTime();
 			return;
 		}
-		if (givenUp() instanceof NextStep.Fail) {
+		if (finalStep() instanceof NextStep.Fail) {
 			finish("failed", "timeout", Answer.error(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time"));
 		}
 		else {
@@ -199,8 +204,8 @@
 	private void onAnswerOverTime() {
 		long leftMs = leftMs();
 		if (leftMs > 0) {
-			// The route's limit is for callers that have no answer; events that come are
-			// delivered until the caller itself would leave.
+			// The route's limit applies to callers that have no answer yet; events that
+			// arrive are delivered until the caller's own deadline.
 			this.timeout = this.router.loop().schedule(this::onTimeout, leftMs, TimeUnit.MILLISECONDS);
 			return;
 		}
@@ -209,20 +214,20 @@
 	}
 
 	/**
-	 * This process ends before the answer does.
+	 * Ends the request as this process exits before the answer is complete.
 	 * @return whether an answer was cut that had begun
 	 */
 	boolean onRouterExit() {
 		if (this.done) {
 			return false;
 		}
-		giveUp(givenUp(), STOPPING);
+		giveUp(finalStep(), STOPPING);
 		return this.answerBegun;
 	}
 
 	private void tryFirst() {
 		this.fingerprint = RequestFingerprint.of(Objects.requireNonNullElse(teamName(), ""), this.request.method(),
-				this.request.host(), this.request.uri(), this.body.soFar().nioBuffer());
+				this.request.host(), this.request.uri(), this.body.buffered().nioBuffer());
 		if (outlivesRouter()) {
 			giveUp(new NextStep.Refuse(), STOPPING);
 			return;
@@ -234,13 +239,13 @@
 		Optional<CrashingRequests.Refusal> crashing = this.router.crashGuard()
 			.refusal(this.request.id(), this.fingerprint);
 		if (crashing.isPresent()) {
-			giveUp(givenUp(), CRASHES_UPSTREAMS, crashing.get().retryAfterMs());
+			giveUp(finalStep(), CRASHES_UPSTREAMS, crashing.get().retryAfterMs());
 			return;
 		}
-		this.triesAgain = this.router.crashGuard().isRefused(this.fingerprint);
+		this.crashRetrial = this.router.crashGuard().isRefused(this.fingerprint);
 		Optional<Target> target = chooseTarget();
 		if (target.isEmpty()) {
-			giveUp(givenUp(), "no-upstream");
+			giveUp(finalStep(), "no-upstream");
 			return;
 		}
 		this.lastTarget = target.get();
@@ -249,9 +254,9 @@
 	}
 
 	/**
-	 * Whether an attempt that begins now is likely to be cut by the end of this process.
-	 * What has begun to reach its caller goes on here as long as it can.
-	 * @return {@code false} where this process goes on
+	 * Whether an attempt that begins now is likely to be cut by the exit of this process.
+	 * An answer that has begun to reach its caller continues here as long as possible.
+	 * @return {@code false} if this process is not stopping, or the attempt may begin
 	 */
 	boolean outlivesRouter() {
 		if (this.answerBegun || !this.router.stopping()) {
@@ -259,13 +264,13 @@
 		}
 		boolean again = this.history.sent() + this.history.notSent() > 0;
 		Optional<StopAdmission.Judgement> judgement = this.router.judgeInStop(new StopAdmission.Candidate(family(),
-				this.route.repeatable(), again, this.request.lastEventId() != null, longestMs()));
+				this.route.repeatable(), again, this.request.lastEventId() != null, maxRemainingMs()));
 		judgement.ifPresent((judged) -> RequestLog.judgedInStop(this, judged));
 		return judgement.isPresent() && !judgement.get().begins();
 	}
 
-	// An answer in events goes on beyond its route's limit.
-	private long longestMs() {
+	// A streamed answer may exceed its route's limit.
+	private long maxRemainingMs() {
 		long limitMs = this.route.limits().timeoutMs() - (this.router.nowMs() - this.startedMs);
 		return (this.route.kind() == RequestKind.STREAMING) ? Long.MAX_VALUE : Math.min(limitMs, leftMs());
 	}
@@ -277,14 +282,14 @@
 	private Optional<Target> chooseTarget() {
 		Set<String> sentTo = this.history.sentTo();
 		boolean again = RetryPolicy.onlyTriedOnes(this.route, sentTo.size());
-		TargetChooser.Criteria criteria = new TargetChooser.Criteria(this.service, expectedTokens(), this.history.failedAt(),
-				again ? sentTo : null, !this.answerBegun);
+		TargetChooser.Criteria criteria = new TargetChooser.Criteria(this.service, expectedTokens(),
+				this.history.failedAt(), again ? sentTo : null, !this.answerBegun);
 		return this.router.chooser().choose(criteria, this.router.nowMs());
 	}
 
 	/**
-	 * An attempt ended without an answer for the caller.
-	 * @param end how
+	 * Handles an attempt that ended without an answer for the caller.
+	 * @param end how it ended
 	 * @param faultyAddress the engine that made it fail, or {@code null}
 	 */
 	void onAttemptEnd(AttemptEnd end, String faultyAddress) {
@@ -296,29 +301,29 @@
 			return;
 		}
 		RetryPolicy.History before = this.history.forRetry();
-		this.history.ended(end);
-		// Before a repeat is taken from what all routers share.
+		this.history.recordEnd(end);
+		// Checked before a repeat is taken from the budget that all routers share.
 		if (outlivesRouter()) {
-			giveUp(givenUp(), STOPPING);
+			giveUp(finalStep(), STOPPING);
 			return;
 		}
 		NextStep next = RetryPolicy.next(this.route, end, before, leftMs(), this::repeatGranted);
-		// What was passed on of an answer without events can't be taken back.
+		// What was passed on of an answer without events cannot be taken back.
 		boolean replayable = !this.body.passingThrough()
 				&& (!this.answerBegun || this.route.kind() == RequestKind.STREAMING);
 		if (next instanceof NextStep.TryAgain && replayable) {
 			tryNext();
 			return;
 		}
-		giveUp(givenUp(), end.reason());
+		giveUp(finalStep(), end.reason());
 	}
 
-	private NextStep givenUp() {
-		return this.history.givenUp(this.attempt != null && this.attempt.sent());
+	private NextStep finalStep() {
+		return this.history.finalStep(this.attempt != null && this.attempt.sent());
 	}
 
 	/**
-	 * The attempt waits for an engine that doesn't answer.
+	 * Ends the attempt under way because it waits for an engine that does not respond.
 	 * @param address the engine
 	 */
 	void onStalled(String address) {
@@ -330,11 +335,11 @@
 	}
 
 	/**
-	 * Gives the attempt under way up for another one, where that is allowed.
+	 * Abandons the attempt under way in favour of another one, if that is allowed.
 	 * @param faultyAddress the engine that it waits for
-	 * @return whether it was
+	 * @return whether it was abandoned
 	 */
-	boolean moveElsewhere(String faultyAddress) {
+	boolean failOver(String faultyAddress) {
 		if (outlivesRouter()) {
 			return false;
 		}
@@ -349,24 +354,24 @@
 		this.attempt = null;
 		avoid(stalled, end, faultyAddress);
 		RequestLog.attemptEnded(this, stalled, end, faultyAddress);
-		this.history.ended(end);
+		this.history.recordEnd(end);
 		tryNext();
 		return true;
 	}
 
 	/**
-	 * Looks for another path for the attempt under way.
+	 * Finds another path for the attempt under way.
 	 * @param faultyAddress the engine to leave out
 	 * @param first the hop that stays
-	 * @return the whole path, or empty where there is none
+	 * @return the complete path, or empty if there is none
 	 */
 	Optional<List<Hop>> detour(String faultyAddress, Hop first) {
 		UpstreamState faulty = this.router.directory().findByAddress(this.service.name(), faultyAddress);
 		if (faulty != null) {
-			this.history.failedAt(faulty.incarnation());
+			this.history.recordFailure(faulty.incarnation());
 		}
-		TargetChooser.Criteria criteria = new TargetChooser.Criteria(this.service, expectedTokens(), this.history.failedAt(), null,
-				false);
+		TargetChooser.Criteria criteria = new TargetChooser.Criteria(this.service, expectedTokens(),
+				this.history.failedAt(), null, false);
 		return this.router.chooser().detour(criteria, first, this.router.nowMs());
 	}
 
@@ -381,15 +386,15 @@
 				? this.router.directory().findByAddress(this.service.name(), faultyAddress) : null;
 		if (faulty != null) {
 			faulty.avoidUntil(untilMs);
-			this.history.failedAt(faulty.incarnation());
+			this.history.recordFailure(faulty.incarnation());
 			this.router.watch().hearsay(faulty.incarnation());
 			return;
 		}
 		Upstream first = ended.target().first();
 		// A chain may begin at the same engine again: a lost answer or a full engine says
-		// little of it, and where the route allows no other one, there is none else.
+		// little about it, and if the route allows no other one, there is no alternative.
 		if (!this.service.chained()) {
-			this.history.failedAt(first.incarnation());
+			this.history.recordFailure(first.incarnation());
 		}
 		UpstreamState state = this.router.directory().find(first.incarnation());
 		if (state != null && !(end instanceof AttemptEnd.Failed)) {
@@ -418,43 +423,46 @@
 	}
 
 	/**
-	 * An upstream ended while the request began there.
+	 * Records that the connection to an upstream ended while the request was starting
+	 * there, which may be a crash.
 	 * @param upstream the upstream
-	 * @param running whether it had begun to run the request and brought no result
+	 * @param running whether the upstream had begun to run the request and had sent no
+	 * result
 	 */
-	void upstreamEnded(Upstream upstream, boolean running) {
+	void recordCrash(Upstream upstream, boolean running) {
 		this.router.crashGuard().crashed(this.fingerprint, upstream, running);
 	}
 
-	/** Upstreams end under this request elsewhere. */
+	/** Gives up the request because it crashes other upstreams. */
 	void onCrashesUpstreams() {
-		// One that has brought results is another one's victim.
-		if (!this.triesAgain && !this.answerBegun && this.attempt != null && this.attempt.underWay()) {
+		// A request that has produced results is not the cause, but affected by the crash
+		// that another one caused.
+		if (!this.crashRetrial && !this.answerBegun && this.attempt != null && this.attempt.underWay()) {
 			giveUp(new NextStep.Fail(), CRASHES_UPSTREAMS);
 		}
 	}
 
-	/** The request was answered, or brought events for a while. */
+	/** Records that the request was answered, or produced events for a while. */
 	void ranWell() {
 		this.router.crashGuard().ranWell(this.fingerprint);
 	}
 
 	/**
-	 * A whole answer is there for the caller.
+	 * Passes a complete answer to the caller.
 	 * @param answer the answer
 	 */
 	void onAnswer(Answer answer) {
 		this.attempt = null;
 		ranWell();
 		if (answer.status().codeClass() == HttpStatusClass.SUCCESS) {
-			answeredWhole();
+			recordAnswered();
 		}
 		finish("answered", Integer.toString(answer.status().code()), answer);
 	}
 
 	/**
-	 * The upstream answered that it failed; the answer is kept in case nothing better
-	 * comes.
+	 * Handles an answer of an upstream that reports its failure; it is kept in case no
+	 * better one follows.
 	 * @param answer the answer
 	 */
 	void onFailedAnswer(Answer answer) {
@@ -464,7 +472,7 @@
 	}
 
 	/**
-	 * Whole events are there for the caller.
+	 * Passes complete events to the caller.
 	 * @param head the head of the answer that they belong to
 	 * @param content the events
 	 */
@@ -475,11 +483,14 @@
 			this.caller.beginAnswer(head.status(), head.headers());
 			this.router.metrics().firstEvent(nowMs - this.startedMs);
 		}
-		this.progress.came(nowMs, this.startedMs);
+		this.progress.recordEvents(nowMs, this.startedMs);
 		this.caller.writeBody(content);
 	}
 
-	/** What was written goes out; the upstream is slowed where the caller is slow. */
+	/**
+	 * Flushes what was written, and stops reading from the upstream while the caller is
+	 * slow.
+	 */
 	void onReadComplete() {
 		if (this.answerBegun) {
 			this.caller.flush();
@@ -490,13 +501,13 @@
 	}
 
 	/**
-	 * The answer in pieces is whole.
-	 * @param head its head, for an answer without any piece
+	 * Completes an answer that was passed on in chunks.
+	 * @param head its head, for an answer without any chunk
 	 */
 	void onStreamEnd(Answer head) {
 		this.attempt = null;
 		ranWell();
-		answeredWhole();
+		recordAnswered();
 		if (!this.answerBegun) {
 			finish("answered", "empty", head);
 			return;
@@ -505,7 +516,7 @@
 		this.caller.endAnswer();
 	}
 
-	private void answeredWhole() {
+	private void recordAnswered() {
 		this.router.answered(family(), this.router.nowMs() - this.startedMs);
 	}
 
@@ -548,7 +559,7 @@
 	}
 
 	/**
-	 * What the request has in common with its repeats.
+	 * Returns what the request has in common with its repeats.
 	 * @return the fingerprint; {@code null} before the first attempt
 	 */
 	RequestFingerprint fingerprint() {
@@ -560,9 +571,9 @@
 	}
 
 	/**
-	 * The request's rank among those that wait at an upstream: its team's, else its
-	 * route's.
-	 * @return 0 for the most urgent; -1 where neither has one
+	 * Returns the priority of the request among those that wait at an upstream: that of
+	 * its team, otherwise that of its route.
+	 * @return 0 for the most urgent; -1 if neither has one
 	 */
 	int priority() {
 		boolean teams = this.team != null && this.team.priority() >= 0;
@@ -602,9 +613,10 @@
 	}
 
 	/**
-	 * Tokens that the request is expected to take up. The most that its answer may have
-	 * is two to three times what answers have.
-	 * @return prompt and usual answer
+	 * Returns how many tokens the request is expected to occupy. The maximum that a
+	 * caller allows for the answer is two to three times the length of real answers, so
+	 * the usual length is the upper bound.
+	 * @return tokens of the prompt and of a usual answer
 	 */
 	int expectedTokens() {
 		int usual = this.service.chained() ? this.service.model().usualAnswerTokens() : 0;
@@ -612,8 +624,9 @@
 	}
 
 	/**
-	 * Whether the request may go to an upstream at this moment; asked right before it
-	 * does, since the process may have been suspended after its key was checked.
+	 * Whether the request may be sent to an upstream at this moment. Checked immediately
+	 * before it is sent, as the process may have been suspended after the key was
+	 * checked.
 	 * @return whether it may
 	 */
 	boolean stillAllowed() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RequestBody.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RequestBody.java
@@ -4,64 +4,64 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * The body of a caller's request. A small one is kept whole, so that it can be sent
- * again; a larger one passes through to the one attempt that it gets.
+ * The body of a caller's request. A small body is buffered completely, so that it can be
+ * sent again; a larger one is streamed to the only attempt that it gets.
  * <p>
- * Invariant: what passes through is never sent again. Confined to the event loop.
+ * Invariant: a streamed body is never sent again. Confined to the event loop.
  */
 final class RequestBody {
 
 	/**
-	 * Bodies up to this size are kept whole, in bytes; most are a few kilobytes.
+	 * Bodies up to this size are buffered completely, in bytes; most are a few kilobytes.
 	 */
-	private static final int MOST_KEPT_BYTES = 65_536;
+	private static final int MAX_BUFFERED_BYTES = 65_536;
 
-	private final long announcedBytes;
+	private final long contentLength;
 
 	// On the heap, so that nothing has to be released.
-	private final ByteBuf read = Unpooled.buffer(0);
+	private final ByteBuf buffer = Unpooled.buffer(0);
 
 	private boolean ended;
 
 	private boolean passingThrough;
 
 	/**
-	 * A body of which nothing was read yet.
-	 * @param announcedBytes its length; -1 where it isn't known
+	 * Creates a body of which nothing was read yet.
+	 * @param contentLength its length; -1 if unknown
 	 */
-	RequestBody(long announcedBytes) {
-		this.announcedBytes = announcedBytes;
+	RequestBody(long contentLength) {
+		this.contentLength = contentLength;
 	}
 
-	long announcedBytes() {
-		return this.announcedBytes;
+	long contentLength() {
+		return this.contentLength;
 	}
 
 	/**
-	 * How long it is with one more piece, as far as it was kept.
-	 * @param content the piece
+	 * Returns the length of what is buffered and one more chunk.
+	 * @param content the chunk
 	 * @return bytes
 	 */
 	long bytesWith(ByteBuf content) {
-		return this.read.writerIndex() + (long) content.readableBytes();
+		return this.buffer.writerIndex() + (long) content.readableBytes();
 	}
 
 	/**
-	 * Keeps a piece where all of it is still small.
-	 * @param content the piece, owned by the caller of this method
-	 * @return {@code false} where the body has to pass through
+	 * Buffers a chunk if the body stays small with it.
+	 * @param content the chunk, owned by the caller of this method
+	 * @return {@code false} if the body has to be streamed
 	 */
 	boolean keep(ByteBuf content) {
-		if (this.passingThrough || bytesWith(content) > MOST_KEPT_BYTES) {
+		if (this.passingThrough || bytesWith(content) > MAX_BUFFERED_BYTES) {
 			return false;
 		}
-		this.read.writeBytes(content);
+		this.buffer.writeBytes(content);
 		return true;
 	}
 
 	/**
-	 * Lets the body pass through from now on.
-	 * @return whether it did not before
+	 * Streams the body from now on.
+	 * @return whether it was not streamed before
 	 */
 	boolean passThrough() {
 		boolean first = !this.passingThrough;
@@ -82,19 +82,19 @@
 	}
 
 	/**
-	 * Puts a piece behind those that were read and not sent yet.
-	 * @param content the piece, owned by the caller of this method
+	 * Appends a chunk to those that were read and not sent yet.
+	 * @param content the chunk, owned by the caller of this method
 	 */
 	void hold(ByteBuf content) {
-		this.read.writeBytes(content);
+		this.buffer.writeBytes(content);
 	}
 
 	/**
-	 * What was read and kept.
-	 * @return a view with a reader of its own
+	 * Returns what was read and buffered.
+	 * @return a view with a reader index of its own
 	 */
-	ByteBuf soFar() {
-		return this.read.duplicate();
+	ByteBuf buffered() {
+		return this.buffer.duplicate();
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
@@ -10,26 +10,29 @@
 /**
  * Decides by a request's head whether it is admitted.
  * <p>
- * Invariant: a request is denied for good only while the configuration is proved to be
- * fresh, since a caller that is denied does not come back; whatever this process can't
- * tell is refused, so that the caller asks another one. Stateless.
+ * Invariant: a request is denied permanently only while the configuration is proved to be
+ * fresh, since a caller that is denied does not retry; whatever this process cannot
+ * decide is refused, so that the caller tries another router. Stateless.
  */
 final class RequestGate {
 
-	/** When to come back where this process knows nothing yet, in milliseconds. */
+	/**
+	 * When a caller may retry at another router if this process cannot decide yet or is
+	 * stopping, in milliseconds.
+	 */
 	static final long RETRY_ELSEWHERE_MS = 100;
 
 	private RequestGate() {
 	}
 
 	/**
-	 * Judges a head.
+	 * Decides on a head.
 	 * @param router the configuration and its proof
 	 * @param request the head
-	 * @param announcedBytes the length of the body; -1 where it isn't known
-	 * @return whether it is admitted, or the answer
+	 * @param contentLength the length of the body; -1 if unknown
+	 * @return the admission, or the rejection with its answer
 	 */
-	static Verdict judge(RouterContext router, CallerRequest request, long announcedBytes) {
+	static Verdict judge(RouterContext router, CallerRequest request, long contentLength) {
 		RoutingConfiguration configuration = router.configuration();
 		if (!router.servesRequests()) {
 			return refused(null, "stopping", "this process stops");
@@ -49,7 +52,7 @@
 		if (keyed && team == null) {
 			return denied(router, route, "unknown-key", HttpResponseStatus.UNAUTHORIZED, "the key is not known");
 		}
-		if (announcedBytes > configuration.limits().maxBodyBytes()) {
+		if (contentLength > configuration.limits().maxBodyBytes()) {
 			return new Verdict.Rejected(route, "denied", "too-large", tooLarge());
 		}
 		RoutedService service = configuration.service(route.serviceFor(request.id().hashCode()));
@@ -60,7 +63,7 @@
 	}
 
 	/**
-	 * The answer to a body that is larger than is allowed.
+	 * Returns the answer to a body that exceeds the allowed size.
 	 * @return the answer
 	 */
 	static Answer tooLarge() {
@@ -80,26 +83,26 @@
 		return new Verdict.Rejected(route, "denied", reason, Answer.error(status, sentence));
 	}
 
-	/** What became of a head. */
+	/** The decision on a head. */
 	sealed interface Verdict {
 
 		/**
-		 * The request goes on.
+		 * The request is forwarded.
 		 *
 		 * @param route its route
-		 * @param team its team, or {@code null} where the route asks for no key
-		 * @param service where it goes
+		 * @param team its team, or {@code null} if the route requires no key
+		 * @param service the service that it is forwarded to
 		 */
 		record Admitted(Route route, RoutedTeam team, RoutedService service) implements Verdict {
 		}
 
 		/**
-		 * The request ends here, and nothing of it has run.
+		 * The request ends here and has not run.
 		 *
-		 * @param route its route, or {@code null} where none was found
-		 * @param outcome what the log says of it
-		 * @param reason why
-		 * @param answer what the caller gets
+		 * @param route its route, or {@code null} if none was found
+		 * @param outcome the outcome in the log
+		 * @param reason the reason in the log
+		 * @param answer the answer to the caller
 		 */
 		record Rejected(Route route, String outcome, String reason, Answer answer) implements Verdict {
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RequestLog.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RequestLog.java
@@ -6,8 +6,9 @@
 import io.whinjunction.routing.RoutingConfiguration;
 
 /**
- * The log lines and counters of a request: one line for each attempt that gave no answer
- * and one for its end, each with what decided it. Stateless.
+ * Writes the log lines and counters of a request: one line for each attempt that gave no
+ * answer and one for the end of the request, each with the values that decided it.
+ * Stateless.
  */
 final class RequestLog {
 
@@ -17,10 +18,10 @@
 	}
 
 	/**
-	 * A request ended.
+	 * Records the end of a request.
 	 * @param session the request
-	 * @param outcome what became of it
-	 * @param reason why
+	 * @param outcome its outcome
+	 * @param reason the reason of the outcome
 	 */
 	static void ended(ForwardSession session, String outcome, String reason) {
 		RouterContext router = session.router();
@@ -45,14 +46,14 @@
 		return (session.fingerprint() != null) ? session.fingerprint().toString() : "-";
 	}
 
-	// When the request came, counted from the signal to stop: negative where it was under
+	// When the request arrived, relative to the signal to stop: negative if it was under
 	// way before.
 	private static String takenInStopMs(RouterContext router, long tookMs) {
 		return router.stopping() ? Long.toString(router.stopAgeMs() - tookMs) : "-";
 	}
 
 	/**
-	 * Whether an attempt begins although this process stops was decided.
+	 * Logs the decision whether an attempt may begin although this process is stopping.
 	 * @param session the request
 	 * @param judgement the decision and its inputs
 	 */
@@ -80,7 +81,7 @@
 	}
 
 	/**
-	 * An attempt ended without an answer.
+	 * Records an attempt that ended without an answer.
 	 * @param session the request
 	 * @param attempt the attempt
 	 * @param end how it ended
@@ -92,8 +93,8 @@
 		logger.atInfo()
 			.log("event=attempt id=%s print=%s end=%s reason=\"%s\" upstream=%s faulty=%s hops=%d events=%d left-ms=%d",
 					session.request().id(), print(session), kind, end.reason(), attempt.target().first().id(),
-					(faultyAddress != null) ? faultyAddress : "-", attempt.target().path().size(), attempt.pieces(),
-					session.leftMs());
+					(faultyAddress != null) ? faultyAddress : "-", attempt.target().path().size(),
+					attempt.eventBatches(), session.leftMs());
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StreamProgress.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StreamProgress.java
@@ -1,7 +1,8 @@
 package io.whinjunction.router;
 
 /**
- * When the events of one answer went to its caller. Confined to the event loop.
+ * Records when the events of one answer were sent to its caller. Confined to the event
+ * loop.
  */
 final class StreamProgress {
 
@@ -12,11 +13,11 @@
 	private long longestGapMs;
 
 	/**
-	 * Events went out.
+	 * Records that events were sent.
 	 * @param nowMs the time
-	 * @param startedMs when the request came
+	 * @param startedMs when the request arrived
 	 */
-	void came(long nowMs, long startedMs) {
+	void recordEvents(long nowMs, long startedMs) {
 		if (this.firstMs < 0) {
 			this.firstMs = nowMs - startedMs;
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Target.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Target.java
@@ -6,15 +6,15 @@
 import io.whinjunction.chain.Hop;
 
 /**
- * Where an attempt goes. Immutable.
+ * The upstream and path of an attempt. Immutable.
  *
  * @param first the upstream that the request is sent to
- * @param path the engines it passes through; empty for a plain service
+ * @param path the engines that the request passes through; empty for a plain service
  */
 record Target(Upstream first, List<Hop> path) {
 
 	/**
-	 * The engines of the path.
+	 * Returns the engines of the path.
 	 * @return their incarnations in order
 	 */
 	List<String> engineIds() {
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	 * How often a path changes between failure domains.
+	 * Counts the changes of failure domain along a path.
 	 * @param path the path
-	 * @return the number of hops that lie in another one than the hop before
+	 * @return the number of hops in another failure domain than the hop before
 	 */
 	static int domainChanges(List<Hop> path) {
 		int changes = 0;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -19,10 +19,11 @@
 import io.whinjunction.routing.RoutedService;
 
 /**
- * Chooses where an attempt goes, from what the directory knows.
+ * Selects the target of an attempt from the directory of upstreams.
  * <p>
- * Invariant: what leaves, was tried before by the same request, or names a limit of which
- * this router's part is used up is not chosen to begin with. Confined to the event loop.
+ * Invariant: an attempt does not start at an upstream that is leaving, at which the same
+ * request failed before, or whose reported limit leaves no share to this router. Confined
+ * to the event loop.
  */
 final class TargetChooser {
 
@@ -32,42 +33,42 @@
 
 	private final UpstreamLimits limits;
 
-	private final Map<String, Double> paces;
+	private final Map<String, Double> slowdowns;
 
 	private final String failureDomain;
 
 	/**
-	 * A chooser.
+	 * Creates a chooser.
 	 * @param directory the upstreams
-	 * @param peers what other routers do and say
-	 * @param limits limits that upstreams name
-	 * @param paces how much slower than usual engines work, by name, as this router has
-	 * found itself; read at each choice
-	 * @param failureDomain where this router is
+	 * @param peers the reported load of peers
+	 * @param limits the limits that upstreams report
+	 * @param slowdowns how much slower than usual engines work, by incarnation, as
+	 * measured by this router; read at each choice
+	 * @param failureDomain the failure domain of this router
 	 */
-	TargetChooser(UpstreamDirectory directory, PeerTable peers, UpstreamLimits limits, Map<String, Double> paces,
+	TargetChooser(UpstreamDirectory directory, PeerTable peers, UpstreamLimits limits, Map<String, Double> slowdowns,
 			String failureDomain) {
 		this.limits = limits;
-		this.paces = paces;
+		this.slowdowns = slowdowns;
 		this.directory = directory;
 		this.peers = peers;
 		this.failureDomain = failureDomain;
 	}
 
 	/**
-	 * Chooses.
-	 * @param criteria what is needed
+	 * Selects a target.
+	 * @param criteria the selection criteria
 	 * @param nowMs the time
-	 * @return the target, or empty where nothing can serve the request now
+	 * @return the target, or empty if no upstream can serve the request now
 	 */
 	Optional<Target> choose(Criteria criteria, long nowMs) {
 		if (criteria.service().chained()) {
 			return chain(criteria, nowMs);
 		}
-		return (criteria.onlyFirst() != null) ? chooseAgain(criteria.onlyFirst()) : single(criteria, nowMs);
+		return (criteria.onlyFirst() != null) ? chooseTried(criteria.onlyFirst()) : single(criteria, nowMs);
 	}
 
-	private Optional<Target> chooseAgain(Set<String> tried) {
+	private Optional<Target> chooseTried(Set<String> tried) {
 		return tried.stream()
 			.map(this.directory::find)
 			.filter((state) -> state != null && !state.upstream().leaving() && withinLimit(state))
@@ -91,19 +92,21 @@
 	}
 
 	private Optional<Target> chain(Criteria criteria, long nowMs) {
-		Predicate<Engine> mayStart = (engine) -> (criteria.onlyFirst() == null || criteria.onlyFirst().contains(engine.id()))
-				&& this.limits.allows(engine.id());
+		Predicate<Engine> mayStart = (
+				engine) -> (criteria.onlyFirst() == null || criteria.onlyFirst().contains(engine.id()))
+						&& this.limits.allows(engine.id());
 		return PathFinder
-			.find(criteria.service().model(), candidates(criteria, nowMs), PathFinder.Start.whole(this.failureDomain, mayStart))
+			.find(criteria.service().model(), candidates(criteria, nowMs),
+					PathFinder.Start.whole(this.failureDomain, mayStart))
 			.map(this::target);
 	}
 
 	/**
-	 * Chooses another path whose first hop stays.
-	 * @param criteria what is needed
+	 * Selects another path with the same first hop.
+	 * @param criteria the selection criteria
 	 * @param first the first hop
 	 * @param nowMs the time
-	 * @return the whole path, or empty where there is none
+	 * @return the complete path, or empty if there is none
 	 */
 	Optional<List<Hop>> detour(Criteria criteria, Hop first, long nowMs) {
 		List<PathFinder.Candidate> others = candidates(criteria, nowMs);
@@ -117,9 +120,9 @@
 
 	private List<PathFinder.Candidate> candidates(Criteria criteria, long nowMs) {
 		ModelProfile profile = criteria.service().model();
-		// All routers decide alone and much alike: what this one has just sent to an
-		// engine, the others have too, and prompts that all go the same way after a loss
-		// are read one after the other.
+		// All routers decide independently and much alike: what this router has just sent
+		// to an engine, its peers have sent there too. Without this factor prompts would
+		// all go to the same engine after a loss and be read one after the other.
 		int routers = 1 + this.peers.heardLately(nowMs);
 		List<PathFinder.Candidate> candidates = new ArrayList<>();
 		for (UpstreamState state : this.directory.staying(criteria.service().name())) {
@@ -130,7 +133,7 @@
 			double usedRatio = usedRatio(profile, kind, state, nowMs);
 			if (!criteria.mustFit() || !full(profile, kind, state.upstream().held(), usedRatio)) {
 				PathCosts.Load load = new PathCosts.Load(usedRatio, (double) routers * state.unreadTokens(),
-						pace(state, nowMs), state.avoided(nowMs));
+						slowdown(state, nowMs), state.avoided(nowMs));
 				candidates.add(PathCosts.rate(profile, engine(state, kind), load, criteria.tokens()));
 			}
 		}
@@ -141,8 +144,8 @@
 		return this.limits.allows(state.incarnation());
 	}
 
-	private double pace(UpstreamState state, long nowMs) {
-		return Math.max(this.paces.getOrDefault(state.incarnation(), 1.0),
+	private double slowdown(UpstreamState state, long nowMs) {
+		return Math.max(this.slowdowns.getOrDefault(state.incarnation(), 1.0),
 				this.peers.paceOf(state.incarnation(), nowMs));
 	}
 
@@ -157,18 +160,18 @@
 	}
 
 	/**
-	 * The part of an engine's room that requests of all routers take up.
+	 * Returns the ratio of an engine's capacity that the requests of all routers occupy.
 	 * @param profile the model
 	 * @param kind the engine's kind
 	 * @param state the engine, which holds layers
 	 * @param nowMs the time
-	 * @return 0 where it is free, 1 and more where it is full
+	 * @return 0 if the engine is free, 1 or more if it is full
 	 */
 	double usedRatio(ModelProfile profile, EngineKind kind, UpstreamState state, long nowMs) {
 		LayerRange held = state.upstream().held();
-		double room = profile.roomTokenLayers(kind, held.end() - held.first());
+		double capacity = profile.roomTokenLayers(kind, held.end() - held.first());
 		double used = state.tokenLayers() + this.peers.tokenLayersAt(state.incarnation(), nowMs);
-		return used / Math.max(1, room);
+		return used / Math.max(1, capacity);
 	}
 
 	private Target target(List<Hop> path) {
@@ -177,14 +180,14 @@
 	}
 
 	/**
-	 * What an attempt needs. Immutable.
+	 * The selection criteria of an attempt. Immutable.
 	 *
 	 * @param service the service
-	 * @param tokens tokens that the request is expected to take up
-	 * @param tried names of upstreams that made the request fail
-	 * @param onlyFirst names of the upstreams that it may be sent to; {@code null} for
-	 * any
-	 * @param mustFit whether it is rather turned away than sent to an engine that is full
+	 * @param tokens tokens that the request is expected to occupy
+	 * @param tried incarnations of upstreams that made the request fail
+	 * @param onlyFirst incarnations of the upstreams that it may be sent to; {@code null}
+	 * for any
+	 * @param mustFit whether the request is rejected rather than sent to a full engine
 	 */
 	record Criteria(RoutedService service, int tokens, Set<String> tried, Set<String> onlyFirst, boolean mustFit) {
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/EventStreamTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/EventStreamTests.java
@@ -11,15 +11,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/**
- * Whole events and their names.
- */
+/** Tests of {@link EventStream}: complete events and their ids. */
 class EventStreamTests {
 
 	private final EventStream stream = new EventStream();
 
 	@Property(tries = 200)
-	void eventsComeOutWholeHoweverTheyAreCut(@ForAll long seed) {
+	void eventsAreCompleteHoweverTheStreamIsSplit(@ForAll long seed) {
 		Random random = new Random(seed);
 		StringBuilder sent = new StringBuilder();
 		for (int id = 1; id <= 20; id++) {
@@ -33,24 +31,25 @@
 				.append(end);
 		}
 		StringBuilder received = new StringBuilder();
-		EventStream cut = new EventStream();
+		EventStream split = new EventStream();
 		int at = 0;
 		while (at < sent.length()) {
 			int end = Math.min(sent.length(), at + 1 + random.nextInt(30));
-			received.append(take(cut, sent.substring(at, end)));
+			received.append(take(split, sent.substring(at, end)));
 			at = end;
 		}
 
 		assertThat(received.toString()).isEqualTo(sent.toString());
-		assertThat(cut.lastId()).isEqualTo("20");
-		assertThat(cut.events()).isEqualTo(20);
-		assertThat(cut.partial()).isFalse();
+		assertThat(split.lastId()).isEqualTo("20");
+		assertThat(split.events()).isEqualTo(20);
+		assertThat(split.partial()).isFalse();
 	}
 
-	// The editor gets a piece of a line twice: the upstream stopped within an event, its
-	// beginning had been passed on already, and the next upstream sent the event anew.
+	// Guards against a caller that receives part of a line twice: the upstream stopped
+	// within an event whose beginning had already been passed on, and the next upstream
+	// sent the event again.
 	@Test
-	void theBeginningOfAnEventIsHeldBackAndCanBeDropped() {
+	void partialEventIsHeldBackAndCanBeDropped() {
 		assertThat(take(this.stream, "id: 1\ndata: a\n\nid: 2\ndata: b")).isEqualTo("id: 1\ndata: a\n\n");
 		assertThat(this.stream.partial()).isTrue();
 
@@ -61,8 +60,8 @@
 	}
 
 	private static String take(EventStream stream, String text) {
-		ByteBuf whole = stream.take(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
-		return (whole != null) ? whole.toString(StandardCharsets.US_ASCII) : "";
+		ByteBuf complete = stream.take(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+		return (complete != null) ? complete.toString(StandardCharsets.US_ASCII) : "";
 	}
 
 }
