--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
@@ -32,19 +32,23 @@
 import io.whinjunction.http.server.HeadRules;
 
 /**
- * One caller's connection: its requests one after the other, their answers in the same
- * order.
+ * Serves the connection of one caller: its requests one after the other, with the answers
+ * in the same order.
  * <p>
- * Invariants: an answer is written only while its request is the current one, whole or
- * with its connection ended; the rest of a body whose request was answered early is read
- * and dropped before the next request. Confined to the event loop.
+ * Invariants: an answer is written only while its request is the current one, and either
+ * completely or followed by the close of the connection; the rest of a body whose request
+ * was answered early is read and dropped before the next request. Confined to the event
+ * loop.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** Requests that may wait behind the current one; a caller that sends more is cut. */
-	private static final int MOST_WAITING_OBJECTS = 256;
+	/**
+	 * HTTP objects that may queue behind the current request; a caller that sends more is
+	 * disconnected.
+	 */
+	private static final int MAX_QUEUED_OBJECTS = 256;
 
 	private final RouterContext router;
 
@@ -64,7 +68,7 @@
 
 	private boolean closing;
 
-	private long quietSinceMs;
+	private long lastActivityMs;
 
 	CallerConnection(RouterContext router) {
 		this.router = router;
@@ -73,13 +77,13 @@
 	@Override
 	public void channelActive(ChannelHandlerContext context) {
 		this.channel = context.channel();
-		this.quietSinceMs = this.router.nowMs();
+		this.lastActivityMs = this.router.nowMs();
 		this.router.callers().add(this);
 	}
 
 	@Override
 	public void channelRead(ChannelHandlerContext context, Object message) {
-		this.quietSinceMs = this.router.nowMs();
+		this.lastActivityMs = this.router.nowMs();
 		if (this.closing) {
 			ReferenceCountUtil.release(message);
 			return;
@@ -88,7 +92,7 @@
 		if (this.answered || this.waiting.isEmpty() && (this.bodyOpen || !(object instanceof HttpRequest))) {
 			process(object);
 		}
-		else if (this.waiting.size() < MOST_WAITING_OBJECTS) {
+		else if (this.waiting.size() < MAX_QUEUED_OBJECTS) {
 			this.waiting.add(object);
 		}
 		else {
@@ -194,7 +198,7 @@
 	}
 
 	/**
-	 * Writes a whole answer.
+	 * Writes a complete answer.
 	 * @param answer the answer
 	 */
 	void respond(Answer answer) {
@@ -217,34 +221,34 @@
 		response.headers().set(headers);
 		response.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
 		response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-		sayWhetherKept(response.headers());
+		setConnectionHeader(response.headers());
 		this.channel.write(response);
 	}
 
 	/**
-	 * Writes a piece of the body; {@link #flush()} sends it.
-	 * @param content the piece, whose ownership passes on
+	 * Writes a chunk of the body; {@link #flush()} sends it.
+	 * @param content the chunk, whose ownership passes on
 	 */
 	void writeBody(ByteBuf content) {
 		this.channel.write(new DefaultHttpContent(content));
 	}
 
-	/** Sends what was written. */
 	void flush() {
 		this.channel.flush();
 	}
 
-	/** Ends an answer in chunks as complete. */
+	/** Completes an answer that is sent in chunks. */
 	void endAnswer() {
 		finish(LastHttpContent.EMPTY_LAST_CONTENT, null);
 	}
 
-	/** Ends the connection, so that the answer can't look complete. */
+	/** Closes the connection, so that the answer cannot look complete. */
 	void abort() {
 		this.session = null;
 		this.answered = true;
 		this.closing = true;
-		// Behind what was written, so that the caller gets all of it first.
+		// Closes only after all that was written is sent, so that the caller gets all of
+		// it.
 		this.channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
 	}
 
@@ -253,26 +257,29 @@
 	}
 
 	/**
-	 * Lets the caller send, or makes it wait.
-	 * @param reading whether it may send
+	 * Turns reading from the caller on or off.
+	 * @param reading whether to read
 	 */
 	void reading(boolean reading) {
 		this.channel.config().setAutoRead(reading);
 	}
 
 	/**
-	 * Ends the connection where it has been quiet for too long.
+	 * Closes the connection if it has been inactive for too long.
 	 * @param nowMs the time
-	 * @param idleMs how long it may be quiet between or within requests
+	 * @param idleMs how long it may be inactive between or within requests
 	 */
 	void closeIfInactive(long nowMs, long idleMs) {
-		boolean waitingForUs = !this.answered && !this.bodyOpen;
-		if (!waitingForUs && nowMs - this.quietSinceMs > idleMs) {
+		boolean awaitingAnswer = !this.answered && !this.bodyOpen;
+		if (!awaitingAnswer && nowMs - this.lastActivityMs > idleMs) {
 			this.channel.close();
 		}
 	}
 
-	/** Ends the connection where no request is on it: this process stops. */
+	/**
+	 * Closes the connection if no request is in progress on it, as this process is
+	 * stopping.
+	 */
 	void closeIfIdle() {
 		if (this.answered && !this.bodyOpen) {
 			this.channel.close();
@@ -280,7 +287,8 @@
 	}
 
 	/**
-	 * This process ends: the caller gets an answer, or the visible end of one.
+	 * Ends the current request as this process exits: the caller gets an answer, or an
+	 * answer that has begun is visibly cut.
 	 * @return whether an answer was cut
 	 */
 	boolean onRouterExit() {
@@ -288,19 +296,19 @@
 	}
 
 	/**
-	 * Gives the current request up where it crashes upstreams and has no answer yet.
-	 * @param crashes which requests do
+	 * Gives up the current request if it crashes upstreams and has no answer yet.
+	 * @param crashes matches requests that crash upstreams
 	 */
-	void giveUpWhere(Predicate<RequestFingerprint> crashes) {
+	void giveUpIf(Predicate<RequestFingerprint> crashes) {
 		if (this.session != null && this.session.fingerprint() != null && crashes.test(this.session.fingerprint())) {
 			this.session.onCrashesUpstreams();
 		}
 	}
 
 	/**
-	 * How long the current request has taken so far.
-	 * @param family the requests that are meant
-	 * @return milliseconds; -1 where there is none of them
+	 * Returns how long the current request has taken so far.
+	 * @param family the family that the request has to belong to
+	 * @return milliseconds; -1 if there is no current request of the family
 	 */
 	long inProgressMs(StopAdmission.Family family) {
 		boolean one = this.session != null && this.session.service() != null && this.session.family().equals(family);
@@ -308,9 +316,8 @@
 	}
 
 	/**
-	 * Whether the caller still waits for an answer, or for the rest of one that it takes
-	 * slowly.
-	 * @return whether this process can't end yet
+	 * Whether the caller still awaits an answer or is still receiving one.
+	 * @return whether this process has to wait for this connection before it exits
 	 */
 	boolean busy() {
 		return !this.answered || (this.closing && this.channel.isActive());
@@ -319,10 +326,10 @@
 	private void finish(Object message, HttpHeaders headers) {
 		this.session = null;
 		if (headers != null) {
-			sayWhetherKept(headers);
+			setConnectionHeader(headers);
 		}
-		this.quietSinceMs = this.router.nowMs();
-		boolean close = this.closing || !this.keepAlive || lastOfStop();
+		this.lastActivityMs = this.router.nowMs();
+		boolean close = this.closing || !this.keepAlive || closesForStop();
 		if (close) {
 			this.closing = true;
 			this.answered = true;
@@ -334,16 +341,16 @@
 		next();
 	}
 
-	private void sayWhetherKept(HttpHeaders headers) {
-		if (!this.keepAlive || this.closing || lastOfStop()) {
+	private void setConnectionHeader(HttpHeaders headers) {
+		if (!this.keepAlive || this.closing || closesForStop()) {
 			headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 			this.keepAlive = false;
 		}
 	}
 
-	// A request that was read behind the current one gets its answer before the
-	// connection ends.
-	private boolean lastOfStop() {
+	// A request that was queued behind the current one gets its answer before the
+	// connection is closed.
+	private boolean closesForStop() {
 		return this.router.stopping() && this.waiting.isEmpty();
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallersPort.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallersPort.java
@@ -9,28 +9,28 @@
 import com.google.common.flogger.FluentLogger;
 
 /**
- * The callers' port, bound as the first thing that a process does.
+ * The listening port for callers, bound as the first thing that a process does.
  * <p>
- * The load it answers: all routers were killed, and callers come back while they start. A
- * process needs most of its start for its classes and its first calls; until then its
- * port refused connections, callers have one more try, and both failed within a
- * millisecond. Connections that wait in the port's queue are answered as soon as there is
- * something to say. Where that takes longer than {@link #MAX_WAIT_MS}, the port is
- * closed again, so that callers turn to another router.
+ * Load pattern: all routers were killed, and callers reconnect while they start. A
+ * process spends most of its start loading classes and on its first calls. Before ports
+ * were bound early, connections were refused during that time; callers have one more try,
+ * and both tries failed within a millisecond. Connections that wait in the accept queue
+ * are served as soon as the router can answer. If that takes longer than
+ * {@link #MAX_WAIT_MS}, the port is closed again, so that callers turn to another router.
  * <p>
- * Invariant: the channel has one owner, this object until it is taken. Safe for one
- * thread at a time.
+ * Invariant: the channel has one owner, this object until it is taken. Not thread-safe:
+ * used by one thread at a time.
  */
 public final class CallersPort implements AutoCloseable {
 
 	/**
-	 * How long callers may wait in the queue of a process that has started, in
-	 * milliseconds: what the first calls take, and under the time within which they want
-	 * their answer to begin.
+	 * How long callers may wait in the accept queue of a process that has started, in
+	 * milliseconds: enough for the first calls, and below the time within which callers
+	 * want their answer to begin.
 	 */
 	static final long MAX_WAIT_MS = 300;
 
-	/** Connections that may wait while the process is busy. */
+	/** Connections that may wait in the accept queue while the process is busy. */
 	static final int BACKLOG = 1024;
 
 	private ServerSocketChannel channel;
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * A port that is bound when it is needed.
+	 * Returns a port that is bound only when it is needed.
 	 * @return a port without a channel
 	 */
 	public static CallersPort unbound() {
@@ -48,10 +48,10 @@
 	}
 
 	/**
-	 * Binds a port at once.
+	 * Binds a port immediately.
 	 * @param address {@code IP:PORT}
 	 * @return the port
-	 * @throws IOException where it can't be bound
+	 * @throws IOException if it cannot be bound
 	 */
 	public static CallersPort bind(String address) throws IOException {
 		ServerSocketChannel channel = ServerSocketChannel.open();
@@ -61,9 +61,10 @@
 	}
 
 	/**
-	 * Hands the channel over.
-	 * @param address where it has to be bound
-	 * @return the channel, or empty where there is none at the address
+	 * Transfers ownership of the channel to the caller of this method. A channel that is
+	 * bound to another port is closed.
+	 * @param address the address at which it has to be bound
+	 * @return the channel, or empty if there is none for the port
 	 */
 	Optional<ServerSocketChannel> take(InetSocketAddress address) {
 		ServerSocketChannel taken = this.channel;
@@ -84,7 +85,8 @@
 			this.channel.close();
 		}
 		catch (IOException ex) {
-			// Not a constant: a process that starts should not load the logger for it.
+			// Not a static field: a process that starts should not load the logger for
+			// it.
 			FluentLogger.forEnclosingClass().atWarning().withCause(ex).log("event=close-failed port=callers");
 		}
 		this.channel = null;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
@@ -11,56 +11,59 @@
 import io.whinjunction.forward.RequestFingerprint;
 
 /**
- * This router's part in refusing requests that crash upstreams: what it saw itself goes
- * to {@link CrashingRequests} and to other routers, and what these say comes from there.
+ * Refuses requests that crash upstreams: passes what this router observed to
+ * {@link CrashingRequests} and to its peers, and takes in what they report.
  * <p>
- * Invariant: what is told is put together at most once each {@link PeerLink#PERIOD_MS},
- * however many routers ask. Confined to the event loop.
+ * Invariant: the report is compiled at most once per {@link PeerLink#PERIOD_MS}, however
+ * many peers query it, unless an urgent crash is due. Confined to the event loop.
  */
 final class CrashGuard {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** Crashes of one request that other routers hear of soon. */
+	/** Number of crashes of one request from which peers are notified immediately. */
 	private static final int URGENT_CRASHES = CrashingRequests.MOST_CRASHES - 1;
 
 	/**
-	 * Crashes within this long are told together, in milliseconds: an upstream's end cuts
-	 * many requests at once.
+	 * Crashes within this time are reported together, in milliseconds: the exit of an
+	 * upstream cuts many requests at once.
 	 */
-	private static final long GATHER_MS = 5;
+	private static final long BATCH_MS = 5;
 
 	private final RouterContext router;
 
-	private final Runnable tellNow;
+	private final Runnable notifyPeers;
 
 	private final CrashingRequests requests = new CrashingRequests();
 
 	private final CrashRecords records;
 
-	private List<CrashHistory> told = List.of();
+	private List<CrashHistory> reported = List.of();
 
-	private long toldAtMs = -PeerLink.PERIOD_MS;
+	private long reportedAtMs = -PeerLink.PERIOD_MS;
 
-	private boolean telling;
+	private boolean notificationScheduled;
 
 	/**
-	 * A guard that has seen nothing yet.
-	 * @param router the clock, the event loop and the other routers
+	 * Creates a guard without observations.
+	 * @param router the clock, the event loop and the peers
 	 * @param store where refused requests are recorded
-	 * @param tellNow tells many other routers at once
+	 * @param notifyPeers sends a report to many peers immediately
 	 */
-	CrashGuard(RouterContext router, FleetStore store, Runnable tellNow) {
+	CrashGuard(RouterContext router, FleetStore store, Runnable notifyPeers) {
 		this.router = router;
 		this.records = new CrashRecords(router, store, this.requests);
-		this.tellNow = tellNow;
+		this.notifyPeers = notifyPeers;
 	}
 
 	CrashRecords records() {
 		return this.records;
 	}
 
-	/** Sees to what follows from time alone: crashes count once they are settled. */
+	/**
+	 * Applies what follows from the passage of time alone: crashes count once they are
+	 * settled.
+	 */
 	void sweep() {
 		if (refused() > 0) {
 			giveUpRefused();
@@ -70,9 +73,9 @@
 
 	/**
 	 * Whether a request has to be refused.
-	 * @param requestId names it in the log
+	 * @param requestId identifies the request in the log
 	 * @param fingerprint the request
-	 * @return why, or empty where it may be sent
+	 * @return the refusal, or empty if the request may be sent
 	 */
 	Optional<CrashingRequests.Refusal> refusal(String requestId, RequestFingerprint fingerprint) {
 		return this.requests.refusal(fingerprint, this.router.nowMs(), () -> {
@@ -85,7 +88,7 @@
 	}
 
 	/**
-	 * Whether a request is refused, unless it is tried again.
+	 * Whether a request is refused unless it is tried again.
 	 * @param fingerprint the request
 	 * @return whether it is
 	 */
@@ -94,10 +97,12 @@
 	}
 
 	/**
-	 * An upstream ended while a request began there.
+	 * Records that the connection to an upstream ended while a request was starting
+	 * there, which may be a crash.
 	 * @param fingerprint the request
 	 * @param upstream the upstream
-	 * @param running whether it had begun to run the request and brought no result
+	 * @param running whether the upstream had begun to run the request and had sent no
+	 * result
 	 */
 	void crashed(RequestFingerprint fingerprint, Upstream upstream, boolean running) {
 		int crashes = this.requests.crashed(fingerprint, upstream.incarnation(), running, this.router.nowMs());
@@ -110,21 +115,21 @@
 		if (isRefused(fingerprint)) {
 			giveUpRefused();
 		}
-		this.records.saw(fingerprint);
-		if (!this.telling) {
-			this.telling = true;
-			this.router.loop().schedule(this::tell, GATHER_MS, TimeUnit.MILLISECONDS);
+		this.records.observed(fingerprint);
+		if (!this.notificationScheduled) {
+			this.notificationScheduled = true;
+			this.router.loop().schedule(this::sendNotification, BATCH_MS, TimeUnit.MILLISECONDS);
 		}
 	}
 
-	private void tell() {
-		this.telling = false;
-		this.toldAtMs = -PeerLink.PERIOD_MS;
-		this.tellNow.run();
+	private void sendNotification() {
+		this.notificationScheduled = false;
+		this.reportedAtMs = -PeerLink.PERIOD_MS;
+		this.notifyPeers.run();
 	}
 
 	/**
-	 * An upstream sent something.
+	 * Records that an upstream sent something.
 	 * @param upstream its incarnation
 	 */
 	void answered(String upstream) {
@@ -132,30 +137,30 @@
 	}
 
 	/**
-	 * A request was answered, or ran for a while.
+	 * Records that a request was answered, or ran for a while.
 	 * @param fingerprint the request
 	 */
 	void ranWell(RequestFingerprint fingerprint) {
 		this.requests.ranWell(fingerprint, this.router.nowMs());
-		this.records.saw(fingerprint);
+		this.records.observed(fingerprint);
 	}
 
 	/**
-	 * What other routers are told.
-	 * @return what is refused and what has changed lately
+	 * Returns what is reported to peers.
+	 * @return refused requests and recent changes
 	 */
 	List<CrashHistory> reported() {
 		long nowMs = this.router.nowMs();
-		if (nowMs - this.toldAtMs >= PeerLink.PERIOD_MS) {
-			this.told = this.requests.told(nowMs);
-			this.toldAtMs = nowMs;
+		if (nowMs - this.reportedAtMs >= PeerLink.PERIOD_MS) {
+			this.reported = this.requests.told(nowMs);
+			this.reportedAtMs = nowMs;
 		}
-		return this.told;
+		return this.reported;
 	}
 
 	/**
-	 * Takes what another router tells.
-	 * @param histories what it knows
+	 * Takes in histories that a peer reports.
+	 * @param histories the histories that the peer has
 	 */
 	void received(List<CrashHistory> histories) {
 		boolean found = false;
@@ -170,15 +175,15 @@
 		}
 	}
 
-	// Copies that wait at other upstreams would end these too.
+	// Copies that wait at other upstreams would crash these too.
 	private void giveUpRefused() {
 		for (CallerConnection caller : Set.copyOf(this.router.callers())) {
-			caller.giveUpWhere(this::isRefused);
+			caller.giveUpIf(this::isRefused);
 		}
 	}
 
 	/**
-	 * How many requests are refused here.
+	 * Returns how many requests are refused here.
 	 * @return the number
 	 */
 	int refused() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
@@ -10,22 +10,23 @@
 import io.whinjunction.forward.RequestFingerprint;
 
 /**
- * Keeps in the platform's store which requests are refused since they crash upstreams.
+ * Records in the platform's store which requests are refused because they crash
+ * upstreams.
  * <p>
- * The failure it is there for: all routers end at once, and a request that ended three
- * upstreams ends three more before the new ones know it.
+ * Guards against the exit of all routers at once, after which a request that crashed
+ * three upstreams crashes three more before the new routers have learned of it.
  * <p>
- * Invariant: one call at a time; what the store holds comes to be what is refused,
- * whatever is lost on the way, as long as any router that knows of both is there. Of a
- * fleet one router writes, and whoever saw the last crash itself. Confined to the event
- * loop.
+ * Invariant: one call at a time; the store converges to the set of refused requests,
+ * whatever calls are lost, as long as a router that holds both is alive. In a fleet one
+ * router writes, and additionally each router that observed the last crash itself.
+ * Confined to the event loop.
  */
 final class CrashRecords {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** The pause before another try to read, in milliseconds. */
-	private static final long READ_AGAIN_MS = 500;
+	/** The delay before a failed read is retried, in milliseconds. */
+	private static final long READ_RETRY_MS = 500;
 
 	private final RouterContext router;
 
@@ -33,17 +34,20 @@
 
 	private final CrashingRequests requests;
 
-	/** Requests that the store holds, as far as is known here. */
+	/** Requests that the store holds, as last known here. */
 	private final Set<RequestFingerprint> stored = new HashSet<>();
 
-	/** Requests that this router itself saw crash an upstream, or run well again. */
-	private final Set<RequestFingerprint> seen = new HashSet<>();
+	/**
+	 * Requests that this router itself observed to crash an upstream, or to run well
+	 * again.
+	 */
+	private final Set<RequestFingerprint> observed = new HashSet<>();
 
-	private boolean calling;
+	private boolean callInProgress;
 
 	/**
-	 * Nothing was read yet.
-	 * @param router the clock, the event loop and the other routers
+	 * Creates records of which nothing was read yet.
+	 * @param router the clock, the event loop and the peers
 	 * @param store where the records are
 	 * @param requests which requests are refused
 	 */
@@ -61,7 +65,7 @@
 				logger.atInfo().log("event=crashing-requests-read count=%d", this.stored.size());
 			}
 			else if (!(reply instanceof StoreReply.Absent)) {
-				this.router.loop().schedule(this::read, READ_AGAIN_MS, TimeUnit.MILLISECONDS);
+				this.router.loop().schedule(this::read, READ_RETRY_MS, TimeUnit.MILLISECONDS);
 			}
 		});
 	}
@@ -74,44 +78,47 @@
 	}
 
 	/**
-	 * This router itself saw a request crash an upstream, or run well.
+	 * Records that this router itself observed a request crash an upstream, or run well.
 	 * @param fingerprint the request
 	 */
-	void saw(RequestFingerprint fingerprint) {
+	void observed(RequestFingerprint fingerprint) {
 		if (this.requests.isRefused(fingerprint, this.router.nowMs()) != this.stored.contains(fingerprint)) {
-			this.seen.add(fingerprint);
+			this.observed.add(fingerprint);
 			reconcile();
 		}
 	}
 
-	/** Brings the store one step nearer to what is refused. */
+	/**
+	 * Writes the next difference between the refused requests and the store, if there is
+	 * one.
+	 */
 	void reconcile() {
-		if (this.calling) {
+		if (this.callInProgress) {
 			return;
 		}
 		for (RequestFingerprint fingerprint : this.requests.refusedOnes(this.router.nowMs())) {
-			if (!this.stored.contains(fingerprint) && writes(fingerprint)) {
-				this.calling = true;
-				this.store.recordCrashing(fingerprint.toString(), (reply) -> ended(fingerprint, true, reply));
+			if (!this.stored.contains(fingerprint) && isWriter(fingerprint)) {
+				this.callInProgress = true;
+				this.store.recordCrashing(fingerprint.toString(), (reply) -> onReply(fingerprint, true, reply));
 				return;
 			}
 		}
 		for (RequestFingerprint fingerprint : this.stored) {
-			if (!this.requests.isRefused(fingerprint, this.router.nowMs()) && writes(fingerprint)) {
-				this.calling = true;
-				this.store.removeCrashing(fingerprint.toString(), (reply) -> ended(fingerprint, false, reply));
+			if (!this.requests.isRefused(fingerprint, this.router.nowMs()) && isWriter(fingerprint)) {
+				this.callInProgress = true;
+				this.store.removeCrashing(fingerprint.toString(), (reply) -> onReply(fingerprint, false, reply));
 				return;
 			}
 		}
 	}
 
-	private boolean writes(RequestFingerprint fingerprint) {
-		return this.seen.contains(fingerprint)
+	private boolean isWriter(RequestFingerprint fingerprint) {
+		return this.observed.contains(fingerprint)
 				|| this.router.peers().nearestTo(fingerprint.value(), this.router.nowMs());
 	}
 
-	private void ended(RequestFingerprint fingerprint, boolean recorded, StoreReply<Boolean> reply) {
-		this.calling = false;
+	private void onReply(RequestFingerprint fingerprint, boolean recorded, StoreReply<Boolean> reply) {
+		this.callInProgress = false;
 		if (reply instanceof StoreReply.Unavailable<Boolean> unavailable) {
 			logger.atWarning()
 				.log("event=crash-record-failed print=%s record=%s reason=\"%s\"", fingerprint, recorded,
@@ -119,7 +126,7 @@
 			return;
 		}
 		logger.atInfo().log("event=crash-record print=%s record=%s", fingerprint, recorded);
-		this.seen.remove(fingerprint);
+		this.observed.remove(fingerprint);
 		if (recorded) {
 			this.stored.add(fingerprint);
 		}
@@ -128,7 +135,10 @@
 		}
 	}
 
-	/** The store has come back from an older copy: what was written may be gone. */
+	/**
+	 * Forgets what the store holds: the store was restored from an older copy, so writes
+	 * may be gone.
+	 */
 	void storeRestored() {
 		this.stored.clear();
 	}
