--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
@@ -16,17 +16,17 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to an upstream, which carries one request at a time.
+ * A connection to an upstream, which carries one request at a time.
  * <p>
- * The failures it is there for: an upstream sends more than the answer it owes, and the
- * surplus would be read as the next request's answer; or a late answer to an earlier
- * request stands where the next is expected. Bytes on an idle connection end it. An
- * answer that names another request is passed over, since the request on the way gets its
- * own after it.
+ * Guards against surplus and late responses: an upstream that sends more than the
+ * expected answer, the rest of which would be read as the answer to the next request, or
+ * a late answer to an earlier request that arrives where the next one is expected. Bytes
+ * on an idle connection close it. An answer that carries the id of another request is
+ * skipped, since the current request gets its own after it.
  * <p>
- * Invariants: a listener hears of answers to its own request only; a connection goes back
- * to the pool only after the whole request was written and the whole answer read.
- * Confined to the event loop.
+ * Invariants: a listener is called only for answers to its own request; a connection
+ * returns to the pool only after the complete request was written and the complete answer
+ * read. Confined to the event loop.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
 
@@ -46,7 +46,7 @@
 
 	private boolean requestWritten;
 
-	private boolean passingOver;
+	private boolean skipping;
 
 	private boolean headRead;
 
@@ -76,8 +76,8 @@
 		this.channel = channel;
 	}
 
-	boolean usable(long nowMs, long mostIdleMs) {
-		long limitMs = (this.keepAliveMs >= 0) ? Math.min(mostIdleMs, this.keepAliveMs / 2) : mostIdleMs;
+	boolean usable(long nowMs, long maxIdleMs) {
+		long limitMs = (this.keepAliveMs >= 0) ? Math.min(maxIdleMs, this.keepAliveMs / 2) : maxIdleMs;
 		return this.channel.isActive() && nowMs - this.idleSinceMs < limitMs;
 	}
 
@@ -87,26 +87,26 @@
 
 	/**
 	 * Takes the connection for one request.
-	 * @param id the request
-	 * @param listener hears of its answer
+	 * @param id the id of the request
+	 * @param listener called with its answer
 	 */
 	void begin(String id, UpstreamListener listener) {
 		this.requestId = id;
 		this.listener = listener;
 		this.requestWritten = false;
-		this.passingOver = false;
+		this.skipping = false;
 		this.headRead = false;
 		this.keepAlive = false;
 		this.channel.config().setAutoRead(true);
 	}
 
-	/** The last byte of the request was handed over. */
+	/** Records that the last byte of the request was written. */
 	void requestWritten() {
 		this.requestWritten = true;
 	}
 
 	/**
-	 * Gives the request up: the connection ends at once, which tells the upstream to
+	 * Abandons the request: the connection is closed at once, which tells the upstream to
 	 * stop.
 	 */
 	void abandon() {
@@ -128,7 +128,7 @@
 
 	private void read(HttpObject object) {
 		if (object.decoderResult().isFailure()) {
-			breakOff("bytes that are no answer: " + object.decoderResult().cause().getMessage(), false);
+			fail("invalid response: " + object.decoderResult().cause().getMessage(), false);
 			return;
 		}
 		if (this.listener == null) {
@@ -146,7 +146,7 @@
 
 	private void readHead(HttpResponse response) {
 		if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-			this.passingOver = true;
+			this.skipping = true;
 			return;
 		}
 		UpstreamHead head = this.dialect.upstreamHead(response);
@@ -154,10 +154,10 @@
 			logger.atWarning()
 				.log("event=foreign-answer request=%s answers=%s upstream=%s", this.requestId, head.requestId(),
 						this.upstream.id());
-			this.passingOver = true;
+			this.skipping = true;
 			return;
 		}
-		this.passingOver = false;
+		this.skipping = false;
 		this.headRead = true;
 		this.keepAlive = HttpUtil.isKeepAlive(response)
 				&& (HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response));
@@ -167,8 +167,8 @@
 
 	private void readContent(HttpContent content) {
 		boolean last = content instanceof LastHttpContent;
-		if (this.passingOver || !this.headRead) {
-			this.passingOver = this.passingOver && !last;
+		if (this.skipping || !this.headRead) {
+			this.skipping = this.skipping && !last;
 			return;
 		}
 		if (this.listener != null && content.content().isReadable()) {
@@ -182,10 +182,10 @@
 	private void end() {
 		UpstreamListener ended = this.listener;
 		this.listener = null;
-		// An answer may come before the whole request was read; the rest of the body
+		// An answer may arrive before the complete request was read; the rest of the body
 		// would then be taken for the next request.
 		if (this.keepAlive && this.requestWritten && this.channel.isActive()) {
-			this.pool.giveBack(this);
+			this.pool.release(this);
 		}
 		else {
 			this.channel.close();
@@ -213,17 +213,17 @@
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
 		// A reset also ends a body without a length, which must not look complete.
 		this.failed = true;
-		breakOff("connection failed: " + cause.getMessage(), cause instanceof IOException);
+		fail("connection failed: " + cause.getMessage(), cause instanceof IOException);
 	}
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
 		this.failed = true;
-		this.pool.forget(this);
-		breakOff(this.headRead ? "connection ended within the answer" : "connection ended without an answer", true);
+		this.pool.remove(this);
+		fail(this.headRead ? "connection ended within the answer" : "connection ended without an answer", true);
 	}
 
-	private void breakOff(String reason, boolean connectionEnded) {
+	private void fail(String reason, boolean connectionEnded) {
 		this.failed = true;
 		UpstreamListener broken = this.listener;
 		this.listener = null;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListener.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListener.java
@@ -4,41 +4,41 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Takes what comes back for one request on an upstream's connection. All calls are on the
- * event loop; after {@link #onEnd()} or {@link #onBroken} there are none.
+ * Receives the response to one request on an upstream's connection. All calls are on the
+ * event loop; there are none after {@link #onEnd()} or {@link #onBroken}.
  */
 interface UpstreamListener {
 
 	/**
-	 * The response's head came.
-	 * @param head its content
+	 * Called with the head of the response.
+	 * @param head the decoded head
 	 * @param response the head itself
 	 */
 	void onHead(UpstreamHead head, HttpResponse response);
 
 	/**
-	 * A piece of the body came.
+	 * Called with a chunk of the body.
 	 * @param content the bytes; owned by the caller of this method
 	 */
 	void onContent(ByteBuf content);
 
-	/** All that could be read at once was handed over. */
+	/** Called when all bytes that were available were handed over. */
 	void onReadComplete();
 
-	/** The whole response came. */
+	/** Called when the response is complete. */
 	void onEnd();
 
 	/**
-	 * No whole response will come.
-	 * @param reason why
-	 * @param connectionEnded whether the connection ended, and not this process ended it
-	 * for what came on it
+	 * Called when the response will not be completed.
+	 * @param reason the reason
+	 * @param connectionEnded whether the connection ended, as opposed to being closed by
+	 * this process because of invalid content
 	 */
 	void onBroken(String reason, boolean connectionEnded);
 
 	/**
-	 * The connection takes more of the request's body, or doesn't.
-	 * @param writable whether it does
+	 * Called when the writability of the connection changes.
+	 * @param writable whether it accepts more of the request's body
 	 */
 	void onWritable(boolean writable);
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamPool.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamPool.java
@@ -20,25 +20,30 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * Kept connections to upstreams, by the upstream's name and not its address, since
- * addresses are used again by others.
+ * Pools connections to upstreams, by the incarnation of the upstream and not by its
+ * address, since addresses are reused by other upstreams.
  * <p>
  * Invariant: a connection is either idle here or carries one request. Confined to the
  * event loop.
  */
 final class UpstreamPool {
 
-	/** Connecting takes two trips of a few milliseconds; a lost packet costs a second. */
+	/**
+	 * Connecting takes two round trips of a few milliseconds; a lost packet costs a
+	 * second.
+	 */
 	private static final int CONNECT_TIMEOUT_MS = 400;
 
 	/**
-	 * An idle connection is used again for this long, in milliseconds: most upstreams
-	 * keep theirs longer, and what lies between the two ends has not lost track of it
-	 * yet.
+	 * How long an idle connection is reused, in milliseconds: most upstreams keep theirs
+	 * longer, and middleboxes between the two ends have not dropped its state yet.
 	 */
-	private static final long MOST_IDLE_MS = 3_000;
+	private static final long MAX_IDLE_MS = 3_000;
 
-	/** Probes find a connection whose other end is silent after about three seconds. */
+	/**
+	 * TCP keep-alive detects a connection whose other end is silent after about three
+	 * seconds.
+	 */
 	private static final int KEEPALIVE_SECONDS = 1;
 
 	private static final int KEEPALIVE_PROBES = 2;
@@ -60,26 +65,26 @@
 	}
 
 	/**
-	 * Gives out a connection.
-	 * @param upstream to whom
-	 * @param fresh whether it has to be a new one
-	 * @param done takes it, or {@code null} where none could be made
+	 * Acquires a connection.
+	 * @param upstream the upstream
+	 * @param fresh whether a new connection is required
+	 * @param done called with the connection, or {@code null} if none could be made
 	 */
 	void acquire(Upstream upstream, boolean fresh, Consumer<UpstreamConnection> done) {
-		UpstreamConnection kept = fresh ? null : poll(upstream.incarnation());
-		if (kept != null) {
-			done.accept(kept);
+		UpstreamConnection pooled = fresh ? null : poll(upstream.incarnation());
+		if (pooled != null) {
+			done.accept(pooled);
 			return;
 		}
 		connect(upstream, done);
 	}
 
-	void giveBack(UpstreamConnection connection) {
+	void release(UpstreamConnection connection) {
 		connection.idleSince(this.ticker.nowMs());
 		this.idle.computeIfAbsent(connection.upstream().incarnation(), (id) -> new ArrayDeque<>()).push(connection);
 	}
 
-	void forget(UpstreamConnection connection) {
+	void remove(UpstreamConnection connection) {
 		Deque<UpstreamConnection> ofUpstream = this.idle.get(connection.upstream().incarnation());
 		if (ofUpstream != null) {
 			ofUpstream.remove(connection);
@@ -87,8 +92,8 @@
 	}
 
 	/**
-	 * Closes the idle connections to an upstream that leaves or is gone.
-	 * @param upstreamId the upstream
+	 * Closes the idle connections to an upstream that is leaving or gone.
+	 * @param upstreamId the incarnation of the upstream
 	 */
 	void drop(String upstreamId) {
 		Deque<UpstreamConnection> ofUpstream = this.idle.remove(upstreamId);
@@ -97,11 +102,11 @@
 		}
 	}
 
-	/** Closes what has been idle for too long. */
+	/** Closes connections that have been idle for too long. */
 	void sweep() {
 		long nowMs = this.ticker.nowMs();
 		for (Deque<UpstreamConnection> ofUpstream : this.idle.values()) {
-			while (!ofUpstream.isEmpty() && !ofUpstream.peekLast().usable(nowMs, MOST_IDLE_MS)) {
+			while (!ofUpstream.isEmpty() && !ofUpstream.peekLast().usable(nowMs, MAX_IDLE_MS)) {
 				ofUpstream.pollLast().channel().close();
 			}
 		}
@@ -112,7 +117,7 @@
 		Deque<UpstreamConnection> ofUpstream = this.idle.get(upstreamId);
 		while (ofUpstream != null && !ofUpstream.isEmpty()) {
 			UpstreamConnection connection = ofUpstream.pop();
-			if (connection.usable(this.ticker.nowMs(), MOST_IDLE_MS)) {
+			if (connection.usable(this.ticker.nowMs(), MAX_IDLE_MS)) {
 				return connection;
 			}
 			connection.channel().close();
