--- a/whinjunction-router/src/main/java/io/whinjunction/router/Answer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Answer.java
@@ -10,16 +10,16 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * A whole answer to a caller. Immutable but for the body's reader.
+ * A complete answer to a caller. Immutable except for the reader index of the body.
  *
  * @param status the status line
  * @param headers headers without framing
- * @param body the whole body; on the heap, so that nothing has to be released
+ * @param body the complete body, on the heap, so that nothing has to be released
  */
 record Answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf body) {
 
 	/**
-	 * An answer of the router's own.
+	 * Returns an error answer that the router itself generates.
 	 * @param status the status
 	 * @param sentence what happened, for people
 	 * @return the answer
@@ -32,9 +32,9 @@
 	}
 
 	/**
-	 * A refusal: the request has not run and never will.
-	 * @param sentence why
-	 * @param retryAfterMs when to come back, in milliseconds
+	 * Returns a refusal: the request has not run and will not run.
+	 * @param sentence the reason
+	 * @param retryAfterMs when the caller may retry, in milliseconds
 	 * @return the answer
 	 */
 	static Answer refusal(String sentence, long retryAfterMs) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Dialect.java
@@ -5,41 +5,41 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * The names that callers and upstreams use for what a router needs to know. It translates
- * and decides nothing. Implementations are stateless.
+ * Translates between HTTP heads of callers and upstreams and the values that a router
+ * needs. Makes no decisions. Implementations are stateless.
  */
 public interface Dialect {
 
 	/**
-	 * Decodes a caller's head.
+	 * Decodes the head of a caller's request.
 	 * @param head the head
-	 * @return its content
+	 * @return the decoded head
 	 */
 	CallerRequest callerRequest(HttpRequest head);
 
 	/**
-	 * Adds what an upstream has to know.
-	 * @param headers the headers to send, the forwarded ones already in them
-	 * @param context what to say
+	 * Adds the headers that an upstream needs.
+	 * @param headers the headers to send, which already contain the forwarded ones
+	 * @param context the values to add
 	 */
 	void addForwardingHeaders(HttpHeaders headers, ForwardingContext context);
 
 	/**
-	 * Decodes an upstream's head.
+	 * Decodes the head of an upstream's response.
 	 * @param head the head
-	 * @return its content
+	 * @return the decoded head
 	 */
 	UpstreamHead upstreamHead(HttpResponse head);
 
 	/**
-	 * Names the request in an answer of the router's own.
+	 * Adds the id of the request to an answer that the router itself generates.
 	 * @param headers the answer's headers
 	 * @param request the request
 	 */
 	void addRequestId(HttpHeaders headers, CallerRequest request);
 
 	/**
-	 * The path that the balancer asks whether this process takes requests.
+	 * Returns the path of the balancer's readiness check.
 	 * @return the path
 	 */
 	String readyPath();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/HopByHopHeaders.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/HopByHopHeaders.java
@@ -7,7 +7,8 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Headers that concern one connection only and are never passed on. Stateless.
+ * Removes hop-by-hop headers: those that concern a single connection and are never
+ * forwarded. Stateless.
  */
 public final class HopByHopHeaders {
 
@@ -20,8 +21,8 @@
 	}
 
 	/**
-	 * Copies headers without those of one connection, also those that {@code Connection}
-	 * names.
+	 * Copies headers without the hop-by-hop ones, which include those that {@code
+	 * Connection} lists.
 	 * @param headers the headers
 	 * @return a new copy
 	 */
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ReadyHandler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ReadyHandler.java
@@ -15,8 +15,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Answers whether this process takes requests, and its metrics. Confined to the event
- * loop.
+ * Serves the readiness check and the metrics of this process. Confined to the event loop.
  */
 @Sharable
 final class ReadyHandler extends SimpleChannelInboundHandler<HttpRequest> {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RouterMetrics.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RouterMetrics.java
@@ -12,10 +12,10 @@
 
 /**
  * The router's metrics. Label sets are bounded: outcomes and a few fixed words, never a
- * request, a caller or an upstream. Safe for all threads.
+ * request, a caller or an upstream. Thread-safe.
  * <p>
- * No metric samples exemplars: nothing here sets the trace that they would name, and the
- * sampling has a thread and timers of its own.
+ * No metric samples exemplars: nothing here sets the trace that they would refer to, and
+ * the sampling has a thread and timers of its own.
  */
 public final class RouterMetrics {
 
@@ -67,10 +67,10 @@
 		.register(this.registry);
 
 	/**
-	 * A request ended.
+	 * Counts a request that ended.
 	 * @param kind the kind of its route, or {@code none}
-	 * @param outcome what became of it, one of a few words
-	 * @param tookMs from its head to its end, in milliseconds
+	 * @param outcome its outcome, one of a few words
+	 * @param tookMs the time from its head to its end, in milliseconds
 	 */
 	public void ended(String kind, String outcome, long tookMs) {
 		this.requests.labelValues(kind, outcome).inc();
@@ -78,41 +78,41 @@
 	}
 
 	/**
-	 * An attempt ended.
-	 * @param end how, one of a few words
+	 * Counts an attempt that ended.
+	 * @param end how it ended, one of a few words
 	 */
 	public void attempt(String end) {
 		this.attempts.labelValues(end).inc();
 	}
 
 	/**
-	 * A stream's first event went to its caller.
-	 * @param tookMs since the request's head, in milliseconds
+	 * Records the time to the first event of a stream.
+	 * @param tookMs the time since the request's head, in milliseconds
 	 */
 	public void firstEvent(long tookMs) {
 		this.firstEvent.observe(tookMs / 1000.0);
 	}
 
 	/**
-	 * A call to the platform's store ended.
-	 * @param call which
-	 * @param result how, one of a few words
+	 * Counts a call to the platform's store.
+	 * @param call the kind of call
+	 * @param result its result, one of a few words
 	 */
 	public void storeCall(String call, String result) {
 		this.storeCalls.labelValues(call, result).inc();
 	}
 
 	/**
-	 * Sets a part of the state.
-	 * @param kind which
-	 * @param value its value
+	 * Sets one value of the state gauge.
+	 * @param kind the kind of value
+	 * @param value the value
 	 */
 	public void state(String kind, double value) {
 		this.state.labelValues(kind).set(value);
 	}
 
 	/**
-	 * The text that Prometheus reads.
+	 * Returns the metrics in the Prometheus text format.
 	 * @return the exposition format
 	 */
 	public byte[] text() {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/RecentDurationsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/RecentDurationsTests.java
@@ -12,30 +12,32 @@
 import static org.assertj.core.api.Assertions.within;
 
 /**
- * How much of a service's requests takes longer than a limit.
+ * Tests of {@link RecentDurations}: the estimated ratio of requests that take longer than
+ * a limit.
  */
 class RecentDurationsTests {
 
 	@Test
-	void withoutRequestsInProgressItIsTheirPlainPart() {
+	void withoutRequestsInProgressTheEstimateIsThePlainRatio() {
 		RecentDurations durations = withDurations(100, 100);
 
 		assertThat(durations.ratioLongerThan(7_000, new long[0])).isCloseTo(0.3, within(0.001));
 	}
 
 	@Test
-	void tooFewRequestsTellNothing() {
+	void tooFewRequestsAllowNoEstimate() {
 		assertThat(withDurations(100, 19).canEstimate(0.05)).isFalse();
 		assertThat(withDurations(100, 20).canEstimate(0.05)).isTrue();
 		assertThat(withDurations(100, 99).canEstimate(0.01)).isFalse();
 		assertThat(withDurations(100, 100).canEstimate(0.01)).isTrue();
 	}
 
-	// Drafts are begun by a process that stops soon after its start, and cut: only short
-	// ones had ended, so that nothing seemed to take longer than four seconds. Forty that
-	// go on since four seconds say otherwise.
+	// Guards against a process that stops soon after its start, begins drafts and cuts
+	// them: only short requests had ended, so nothing seemed to take longer than four
+	// seconds. Forty requests that have been in progress for four seconds correct the
+	// estimate.
 	@Test
-	void aProcessThatServedForAShortTimeKnowsOfLongRequestsByThoseInProgress() {
+	void requestsInProgressRevealLongOnesSoonAfterTheStart() {
 		RecentDurations durations = withDurations(100, 40);
 		long[] inProgressMs = new long[40];
 		Arrays.fill(inProgressMs, 4_000);
@@ -45,7 +47,7 @@
 	}
 
 	@Test
-	void onlyTheNewestCount() {
+	void onlyTheNewestDurationsCount() {
 		RecentDurations durations = withDurations(10, RecentDurations.KEPT);
 		for (int index = 0; index < RecentDurations.KEPT; index++) {
 			durations.add(9_000);
@@ -55,7 +57,7 @@
 	}
 
 	@Property
-	void aLongerLimitIsNeverOutlivedByMore(@ForAll @Size(max = 200) int @IntRange(max = 20_000) [] ended,
+	void ratioDoesNotGrowWithTheLimit(@ForAll @Size(max = 200) int @IntRange(max = 20_000) [] ended,
 			@ForAll @Size(max = 50) int @IntRange(max = 20_000) [] inProgress,
 			@ForAll @IntRange(max = 20_000) int limitMs, @ForAll @IntRange(max = 20_000) int moreMs) {
 		RecentDurations durations = new RecentDurations();
