--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineWatch.java
@@ -174,12 +174,12 @@
 
 	// Starts that have ended are remembered for good, and soon no stream is over one.
 	private boolean anyOverEnded() {
-		if (!this.router.directory().anyEnded()) {
+		if (!this.router.directory().anySuperseded()) {
 			return false;
 		}
 		for (Attempt stream : this.streams) {
 			for (Hop hop : stream.target().path()) {
-				if (this.router.directory().ended(hop.engine().id())) {
+				if (this.router.directory().superseded(hop.engine().id())) {
 					return true;
 				}
 			}
@@ -227,7 +227,7 @@
 			.path()
 			.stream()
 			.filter((hop) -> this.suspicions.containsKey(hop.engine().id())
-					|| this.router.directory().ended(hop.engine().id()))
+					|| this.router.directory().superseded(hop.engine().id()))
 			.map((hop) -> hop.engine().address())
 			.findFirst();
 	}
@@ -315,7 +315,7 @@
 
 		private void take(Upstream upstream, long askedMs, Optional<EngineReport> report) {
 			boolean open = this.waiting.remove(upstream.incarnation()) != null;
-			if (report.isPresent() && !EngineWatch.this.router.directory().confirm(upstream, report.get())) {
+			if (report.isPresent() && !EngineWatch.this.router.directory().confirmIncarnation(upstream, report.get())) {
 				this.answers++;
 				EngineWatch.this.suspicions.remove(upstream.incarnation());
 				EngineWatch.this.news.run();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
@@ -103,7 +103,7 @@
 		}
 		for (RoutedService service : configuration.services()) {
 			if (service.chained()) {
-				this.router.directory().staying(service.name()).forEach((state) -> survey(state.upstream()));
+				this.router.directory().active(service.name()).forEach((state) -> survey(state.upstream()));
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 			logger.atInfo()
 				.log("event=engine-state engine=%s domain=%s kind=%s listed=%s report=\"%s\"", upstream.incarnation(),
 						upstream.failureDomain(), upstream.kind(), upstream.held(), report.orElse(null));
-			if (report.isPresent() && !this.router.directory().confirm(upstream, report.get())) {
+			if (report.isPresent() && !this.router.directory().confirmIncarnation(upstream, report.get())) {
 				this.paces.remove(upstream.incarnation());
 				return;
 			}
@@ -156,7 +156,7 @@
 		ModelProfile profile = service.model();
 		forgetSettled(profile);
 		List<Engine> state = new ArrayList<>();
-		for (UpstreamState upstream : this.router.directory().staying(service.name())) {
+		for (UpstreamState upstream : this.router.directory().active(service.name())) {
 			EngineKind kind = profile.kinds().get(upstream.upstream().kind());
 			if (kind != null && !this.router.watch().lost(upstream.upstream().incarnation())) {
 				state.add(engine(upstream.upstream(), kind));
@@ -242,8 +242,8 @@
 		this.ordered.put(engine.id(), new Ordered(placement.layers(), this.router.nowMs()));
 		this.engines.report(engine.address(), REPORT_MS, (report) -> {
 			UpstreamState state = this.router.directory().find(engine.id());
-			if (state == null
-					|| (report.isPresent() && !this.router.directory().confirm(state.upstream(), report.get()))) {
+			if (state == null || (report.isPresent()
+					&& !this.router.directory().confirmIncarnation(state.upstream(), report.get()))) {
 				// It has started again: it counts its orders anew and holds nothing of
 				// what the plan was made for.
 				dropped(engine, "restarted-or-gone");
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -84,7 +84,7 @@
 			.thenComparingInt(UpstreamState::requests)
 			.thenComparing((state) -> !state.upstream().failureDomain().equals(this.failureDomain))
 			.thenComparing((state) -> state.incarnation());
-		return this.directory.staying(criteria.service().name())
+		return this.directory.active(criteria.service().name())
 			.stream()
 			.filter((state) -> !tried.contains(state.incarnation()) && withinLimit(state))
 			.min(order)
@@ -125,7 +125,7 @@
 		// all go to the same engine after a loss and be read one after the other.
 		int routers = 1 + this.peers.heardLately(nowMs);
 		List<PathFinder.Candidate> candidates = new ArrayList<>();
-		for (UpstreamState state : this.directory.staying(criteria.service().name())) {
+		for (UpstreamState state : this.directory.active(criteria.service().name())) {
 			EngineKind kind = profile.kinds().get(state.upstream().kind());
 			if (state.upstream().held() == null || kind == null || criteria.tried().contains(state.incarnation())) {
 				continue;
