--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -151,7 +151,7 @@
 		this.sent = true;
 		this.progressAtMs = this.session.router().nowMs();
 		if (!this.target.path().isEmpty()) {
-			this.session.router().watch().add(this);
+			this.session.router().engineMonitor().add(this);
 			this.load.readingBegan();
 		}
 		this.session.history().recordSent(this.first);
@@ -346,7 +346,7 @@
 	@Override
 	public void onHead(UpstreamHead received, HttpResponse response) {
 		this.head = received;
-		this.session.router().limits().heard(this.first, received);
+		this.session.router().limits().received(this.first, received);
 		this.session.router().crashGuard().answered(this.first);
 		HttpHeaders headers = HopByHopHeaders.strip(response.headers());
 		boolean stream = this.session.route().kind() == RequestKind.STREAMING && received.success();
@@ -482,7 +482,7 @@
 
 	private void settle() {
 		this.ended = true;
-		this.session.router().watch().remove(this);
+		this.session.router().engineMonitor().remove(this);
 		this.load.readingEnded();
 		this.load.ended();
 	}
--- /dev/null
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -0,0 +1,376 @@
+package io.whinjunction.router;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+
+import com.google.common.flogger.FluentLogger;
+import io.whinjunction.chain.Hop;
+
+/**
+ * Detects engines that have crashed, are unreachable or hold no layers before the list of
+ * upstreams shows it.
+ * <p>
+ * Guards against long stalls after an engine in the middle of a path crashes: every
+ * stream over it stalls for seconds, and the list shows the crash only after the engine's
+ * heartbeats were missed. Engines whose streams are stalled ({@link StallRules}) are sent
+ * a status query. An engine that does not reply, or no longer holds its layers, is
+ * avoided by all routers for a while, and the streams that wait for it fail over.
+ * <p>
+ * Invariant: an engine is queried at most once per {@link #QUERY_INTERVAL_MS}, and while
+ * it is suspect once per {@link #SUSPECT_QUERY_INTERVAL_MS}, so that status queries do
+ * not slow a slow fleet down further. Confined to the event loop.
+ */
+final class EngineMonitor {
+
+	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+
+	/**
+	 * The time limit for a reply, in milliseconds. An engine replies within a few
+	 * milliseconds, and within this time even if it is slowed down.
+	 */
+	private static final long QUERY_TIMEOUT_MS = 80;
+
+	/**
+	 * The time, in milliseconds, after which an engine is considered silent if most of
+	 * the engines queried with it have replied: their replies show that this router
+	 * itself is not slow.
+	 */
+	private static final long EARLY_QUERY_TIMEOUT_MS = 40;
+
+	private static final long QUERY_INTERVAL_MS = 400;
+
+	/**
+	 * The interval between status queries to a suspect engine, in milliseconds. It is
+	 * short because the second missing reply causes the engine's layers to be loaded
+	 * elsewhere, which takes most of a second.
+	 */
+	private static final long SUSPECT_QUERY_INTERVAL_MS = 120;
+
+	/**
+	 * How long an engine is avoided after each unanswered status query, in milliseconds.
+	 */
+	private static final long BACKOFF_MS = 1500;
+
+	/**
+	 * How long an engine is avoided after a peer or an engine reported it, in
+	 * milliseconds.
+	 */
+	private static final long REPORTED_BACKOFF_MS = 700;
+
+	/** The number of unanswered status queries after which an engine is replaced. */
+	private static final int LOST_AFTER_UNANSWERED = 2;
+
+	private final RouterContext router;
+
+	private final EngineControl engines;
+
+	private final Runnable onChange;
+
+	private final BooleanSupplier leads;
+
+	private final Set<Attempt> streams = new HashSet<>();
+
+	private final Map<String, Suspicion> suspicions = new HashMap<>();
+
+	private final CheckTimer timer;
+
+	private final Map<String, Long> queriedAtMs = new HashMap<>();
+
+	private final QueryBudget budget = new QueryBudget();
+
+	/**
+	 * Creates a monitor without streams.
+	 * @param router the directory and the clock
+	 * @param engines sends the status queries
+	 * @param onChange is run when an engine becomes suspect or lost
+	 * @param leads whether this router plans repairs and therefore has to detect the loss
+	 * of any engine
+	 */
+	EngineMonitor(RouterContext router, EngineControl engines, Runnable onChange, BooleanSupplier leads) {
+		this.leads = leads;
+		this.router = router;
+		this.engines = engines;
+		this.onChange = onChange;
+		this.timer = new CheckTimer(router, this::check);
+	}
+
+	void add(Attempt stream) {
+		this.streams.add(stream);
+		this.timer.checkWithin(CheckTimer.MAX_INTERVAL_MS);
+	}
+
+	void remove(Attempt stream) {
+		this.streams.remove(stream);
+	}
+
+	/**
+	 * Returns whether an engine left several status queries unanswered.
+	 * @param engineId the incarnation of the engine
+	 * @return whether another engine should hold its layers
+	 */
+	boolean lost(String engineId) {
+		Suspicion suspicion = this.suspicions.get(engineId);
+		return suspicion != null && suspicion.unanswered >= LOST_AFTER_UNANSWERED;
+	}
+
+	/**
+	 * Returns the engines that this router itself found silent.
+	 * @return their incarnations
+	 */
+	List<String> suspects() {
+		return List.copyOf(this.suspicions.keySet());
+	}
+
+	/**
+	 * Handles a report of a peer or of an engine that an engine is silent. The engine is
+	 * avoided for a while, and queried if this router plans repairs or has a stream over
+	 * it. Streams stay until this router itself has found the engine silent: otherwise
+	 * one mistake of one router would move the streams of all routers.
+	 * @param incarnation the incarnation of the engine; a report about an earlier
+	 * incarnation is ignored
+	 */
+	void suspectReported(String incarnation) {
+		UpstreamState state = this.router.directory().find(incarnation);
+		if (state == null || state.upstream().held() == null) {
+			return;
+		}
+		state.avoidUntil(this.router.nowMs() + REPORTED_BACKOFF_MS);
+		if (this.leads.getAsBoolean() || usedByOwnStream(incarnation)) {
+			new Round().query(state.upstream());
+		}
+	}
+
+	// A router that neither plans repairs nor has a stream over the engine only avoids
+	// it: otherwise each router of a large fleet would query each engine that any
+	// router suspects.
+	private boolean usedByOwnStream(String incarnation) {
+		return this.streams.stream().anyMatch((stream) -> stream.target().engineIds().contains(incarnation));
+	}
+
+	private void check() {
+		if (this.streams.isEmpty() && this.suspicions.isEmpty()) {
+			return;
+		}
+		double untilLateMs = untilLateMs();
+		this.timer.checkWithin(this.suspicions.isEmpty() ? untilLateMs : CheckTimer.MIN_INTERVAL_MS);
+		if (untilLateMs > 0 && this.suspicions.isEmpty() && !anyOverEndedEngine()) {
+			// Nearly all checks find nothing, and checks run many times a second.
+			return;
+		}
+		Map<Attempt, StallRules.Pause> pauses = pauses();
+		failOverFromSuspects(pauses);
+		Round round = new Round();
+		StallRules.stalledEngines(pauses.values()).forEach(round::query);
+		pauses.forEach((stream, pause) -> {
+			if (StallRules.lateAlone(pause)) {
+				queryPath(stream, pause, round);
+			}
+		});
+		for (Suspicion suspicion : List.copyOf(this.suspicions.values())) {
+			if (this.router.directory().find(suspicion.upstream.incarnation()) == null) {
+				this.suspicions.remove(suspicion.upstream.incarnation());
+			}
+			else {
+				round.query(suspicion.upstream);
+			}
+		}
+	}
+
+	// The directory remembers ended incarnations permanently, while soon no stream is
+	// over one.
+	private boolean anyOverEndedEngine() {
+		if (!this.router.directory().anySuperseded()) {
+			return false;
+		}
+		for (Attempt stream : this.streams) {
+			for (Hop hop : stream.target().path()) {
+				if (this.router.directory().superseded(hop.engine().id())) {
+					return true;
+				}
+			}
+		}
+		return false;
+	}
+
+	private double untilLateMs() {
+		long nowMs = this.router.nowMs();
+		double untilLateMs = CheckTimer.MAX_INTERVAL_MS;
+		for (Attempt stream : this.streams) {
+			untilLateMs = Math.min(untilLateMs, StallRules.untilLateMs(pause(stream, List.of(), nowMs)));
+		}
+		return untilLateMs;
+	}
+
+	private Map<Attempt, StallRules.Pause> pauses() {
+		long nowMs = this.router.nowMs();
+		// Streams with the shortest prompts come first: the engines of the new path
+		// read the prompts of the moved streams one after the other, and in this order
+		// most streams resume within the pause that callers are promised.
+		List<Attempt> ordered = new ArrayList<>(this.streams);
+		ordered.sort(Comparator.comparingInt(Attempt::promptTokens));
+		Map<Attempt, StallRules.Pause> pauses = new LinkedHashMap<>();
+		for (Attempt stream : ordered) {
+			pauses.put(stream, pause(stream, stream.target().engineIds(), nowMs));
+		}
+		return pauses;
+	}
+
+	private static StallRules.Pause pause(Attempt stream, List<String> engineIds, long nowMs) {
+		return new StallRules.Pause(engineIds, stream.hasMeanGap(), stream.meanGapMs(), nowMs - stream.progressAtMs());
+	}
+
+	private void failOverFromSuspects(Map<Attempt, StallRules.Pause> pauses) {
+		pauses.forEach((stream, pause) -> {
+			if (StallRules.shouldFailOver(pause)) {
+				suspectOf(stream).ifPresent(stream::stalled);
+			}
+		});
+	}
+
+	private Optional<String> suspectOf(Attempt stream) {
+		return stream.target()
+			.path()
+			.stream()
+			.filter((hop) -> this.suspicions.containsKey(hop.engine().id())
+					|| this.router.directory().superseded(hop.engine().id()))
+			.map((hop) -> hop.engine().address())
+			.findFirst();
+	}
+
+	private void queryPath(Attempt stream, StallRules.Pause pause, Round round) {
+		for (Hop hop : stream.target().path()) {
+			if (this.router.directory().find(hop.engine().id()) == null) {
+				stream.stalled(hop.engine().address());
+				return;
+			}
+		}
+		pause.engineIds().forEach(round::query);
+	}
+
+	private void onSilent(Upstream upstream, boolean replied) {
+		UpstreamState state = this.router.directory().find(upstream.incarnation());
+		if (state == null) {
+			this.suspicions.remove(upstream.incarnation());
+			return;
+		}
+		Suspicion suspicion = this.suspicions.computeIfAbsent(upstream.incarnation(), (id) -> new Suspicion(upstream));
+		suspicion.unanswered++;
+		this.timer.checkWithin(CheckTimer.MIN_INTERVAL_MS);
+		state.avoidUntil(this.router.nowMs() + BACKOFF_MS);
+		if (suspicion.unanswered <= LOST_AFTER_UNANSWERED) {
+			logger.atWarning()
+				.log("event=engine-suspect engine=%s address=%s unanswered=%d answered=%s", upstream.incarnation(),
+						upstream.address(), suspicion.unanswered, replied);
+			this.onChange.run();
+			failOverFromSuspects(pauses());
+		}
+	}
+
+	private void onWorking(Upstream upstream) {
+		UpstreamState state = this.router.directory().find(upstream.incarnation());
+		Suspicion cleared = this.suspicions.remove(upstream.incarnation());
+		if (cleared != null && state != null) {
+			state.avoidUntil(Long.MIN_VALUE);
+			logger.atInfo()
+				.log("event=engine-regained engine=%s address=%s", upstream.incarnation(), upstream.address());
+		}
+	}
+
+	private boolean conclusive(long queriedMs, long limitMs) {
+		return StallRules.conclusive(this.router.nowMs() - queriedMs, limitMs, this.timer.delayMs());
+	}
+
+	/** Engines that are queried at the same moment; confined to the event loop. */
+	private final class Round {
+
+		private final Map<String, Upstream> pending = new HashMap<>();
+
+		private int queried;
+
+		private int replies;
+
+		private long firstQueriedMs;
+
+		void query(String engineId) {
+			UpstreamState state = EngineMonitor.this.router.directory().find(engineId);
+			if (state != null) {
+				query(state.upstream());
+			}
+		}
+
+		void query(Upstream upstream) {
+			long nowMs = EngineMonitor.this.router.nowMs();
+			Suspicion suspicion = EngineMonitor.this.suspicions.get(upstream.incarnation());
+			boolean urgent = suspicion != null && suspicion.unanswered < LOST_AFTER_UNANSWERED;
+			Long queriedMs = EngineMonitor.this.queriedAtMs.get(upstream.incarnation());
+			boolean queriedRecently = queriedMs != null
+					&& nowMs - queriedMs < (urgent ? SUSPECT_QUERY_INTERVAL_MS : QUERY_INTERVAL_MS);
+			if (queriedRecently
+					|| !EngineMonitor.this.budget.take(nowMs, EngineMonitor.this.router.peers().sharers(nowMs))) {
+				return;
+			}
+			EngineMonitor.this.queriedAtMs.put(upstream.incarnation(), nowMs);
+			EngineMonitor.this.queriedAtMs.values().removeIf((atMs) -> nowMs - atMs > 10 * QUERY_INTERVAL_MS);
+			if (this.queried == 0) {
+				this.firstQueriedMs = nowMs;
+				EngineMonitor.this.router.loop().schedule(this::judge, EARLY_QUERY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+			}
+			this.queried++;
+			this.pending.put(upstream.incarnation(), upstream);
+			EngineMonitor.this.engines.queryStatus(upstream.address(), QUERY_TIMEOUT_MS,
+					(report) -> onReply(upstream, nowMs, report));
+		}
+
+		private void onReply(Upstream upstream, long queriedMs, Optional<EngineReport> report) {
+			boolean wasPending = this.pending.remove(upstream.incarnation()) != null;
+			if (report.isPresent()
+					&& !EngineMonitor.this.router.directory().confirmIncarnation(upstream, report.get())) {
+				this.replies++;
+				EngineMonitor.this.suspicions.remove(upstream.incarnation());
+				EngineMonitor.this.onChange.run();
+				return;
+			}
+			boolean holds = report.isPresent() && (report.get().held() != null || report.get().loading());
+			this.replies += report.isPresent() ? 1 : 0;
+			if (holds) {
+				onWorking(upstream);
+			}
+			else if (report.isPresent() || (wasPending && conclusive(queriedMs, QUERY_TIMEOUT_MS))) {
+				onSilent(upstream, report.isPresent());
+			}
+		}
+
+		private void judge() {
+			boolean mostReplied = this.replies > this.pending.size();
+			if (mostReplied && conclusive(this.firstQueriedMs, EARLY_QUERY_TIMEOUT_MS)) {
+				List<Upstream> silent = List.copyOf(this.pending.values());
+				this.pending.clear();
+				silent.forEach((upstream) -> onSilent(upstream, false));
+			}
+		}
+
+	}
+
+	/** An engine that did not reply; confined to the monitor. */
+	private static final class Suspicion {
+
+		private final Upstream upstream;
+
+		private int unanswered;
+
+		Suspicion(Upstream upstream) {
+			this.upstream = upstream;
+		}
+
+	}
+
+}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -387,7 +387,7 @@
 		if (faulty != null) {
 			faulty.avoidUntil(untilMs);
 			this.history.recordFailure(faulty.incarnation());
-			this.router.watch().hearsay(faulty.incarnation());
+			this.router.engineMonitor().suspectReported(faulty.incarnation());
 			return;
 		}
 		Upstream first = ended.target().first();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -20,13 +20,13 @@
 
 	private final DirectorySynchronizer directorySynchronizer;
 
-	private final LayerKeeper layerKeeper;
+	private final LayerReconciler layerReconciler;
 
 	private final Leadership leadership;
 
 	private final StoreEra era;
 
-	private final ToldLoad load;
+	private final ReportedLoad load;
 
 	/**
 	 * A side.
@@ -34,20 +34,21 @@
 	 * @param settings this router's name and address
 	 * @param configurationSynchronizer knows the configuration in force
 	 * @param directorySynchronizer knows the list of upstreams
-	 * @param layerKeeper knows which engines are slow, while this router leads
+	 * @param layerReconciler knows which engines are slow, while this router leads
 	 * @param leadership whether it does
 	 * @param era the era of the store
 	 */
 	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationSynchronizer configurationSynchronizer,
-			DirectorySynchronizer directorySynchronizer, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
+			DirectorySynchronizer directorySynchronizer, LayerReconciler layerReconciler, Leadership leadership,
+			StoreEra era) {
 		this.router = router;
 		this.settings = settings;
 		this.configurationSynchronizer = configurationSynchronizer;
 		this.directorySynchronizer = directorySynchronizer;
-		this.layerKeeper = layerKeeper;
+		this.layerReconciler = layerReconciler;
 		this.leadership = leadership;
 		this.era = era;
-		this.load = new ToldLoad(router.directory());
+		this.load = new ReportedLoad(router.directory());
 	}
 
 	@Override
@@ -57,9 +58,9 @@
 		long version = (this.router.configuration() != null) ? this.router.configuration().version() : -1;
 		return new PeerStatus(this.settings.name(), Addresses.text(this.settings.peers()),
 				this.settings.failureDomain(), sequence, answer, version,
-				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
+				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.engineMonitor().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
-				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
+				this.layerReconciler.slowdowns(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
 				this.directorySynchronizer.state(), this.era.current(), this.configurationSynchronizer.restoreAgeMs());
 	}
 
@@ -71,7 +72,7 @@
 			this.configurationSynchronizer.peerRestoreReceived(status.storeReturnAgeMs());
 		}
 		peers.heard(status, this.router.nowMs());
-		status.suspects().forEach(this.router.watch()::hearsay);
+		status.suspects().forEach(this.router.engineMonitor()::suspectReported);
 		this.configurationSynchronizer.peerVersionReceived(status.version(), peers.provedAtMs(status),
 				status.address());
 		this.directorySynchronizer.peerStateReceived(status.address(), status.list(), peers.listProvedAtMs(status));
@@ -94,7 +95,7 @@
 		if (!crashes.isEmpty()) {
 			news.add(new PeerMessage.CrashReports(crashes));
 		}
-		List<NamedLimit> limits = this.router.limits().told();
+		List<ReportedLimit> limits = this.router.limits().limitsToReport();
 		if (!limits.isEmpty()) {
 			news.add(new PeerMessage.Limits(limits));
 		}
@@ -108,7 +109,7 @@
 
 	@Override
 	public void heard(PeerMessage.Limits limits) {
-		this.router.limits().heard(limits.limits());
+		this.router.limits().received(limits.limits());
 	}
 
 }
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -269,7 +269,7 @@
 			this.list = new DirectorySynchronizer(context(), seen, new PeerRequests(), () -> this.leadership.holds(),
 					DRAIN_MS, StoreRollbackModelTests.this.random);
 			this.era.onRestore(() -> {
-				this.leadership.storeReturned();
+				this.leadership.storeRestored();
 				this.configuration.storeRestored();
 				this.list.storeRestored();
 			});
