--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -225,7 +225,7 @@
 	}
 
 	private static StallRules.Pause pause(Attempt stream, List<String> engineIds, long nowMs) {
-		return new StallRules.Pause(engineIds, stream.gapsKnown(), stream.usualGapMs(), nowMs - stream.progressAtMs());
+		return new StallRules.Pause(engineIds, stream.hasMeanGap(), stream.meanGapMs(), nowMs - stream.progressAtMs());
 	}
 
 	private void failOverFromSuspects(Map<Attempt, StallRules.Pause> pauses) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -197,7 +197,7 @@
 	private double usedRatio(ModelProfile profile, Engine engine) {
 		UpstreamState state = this.router.directory().find(engine.id());
 		boolean holds = state != null && state.upstream().held() != null;
-		return holds ? this.router.chooser().usedPart(profile, engine.kind(), state, this.router.nowMs()) : 0;
+		return holds ? this.router.chooser().usedRatio(profile, engine.kind(), state, this.router.nowMs()) : 0;
 	}
 
 	private Set<String> unsettled(String service, List<Engine> engines) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
@@ -91,7 +91,7 @@
 	@Override
 	public List<PeerMessage> pendingReports() {
 		List<PeerMessage> reports = new ArrayList<>();
-		List<CrashHistory> crashes = this.router.crashGuard().told();
+		List<CrashHistory> crashes = this.router.crashGuard().reported();
 		if (!crashes.isEmpty()) {
 			reports.add(new PeerMessage.CrashReports(crashes));
 		}
@@ -104,7 +104,7 @@
 
 	@Override
 	public void onCrashReports(PeerMessage.CrashReports reports) {
-		this.router.crashGuard().heard(reports.histories());
+		this.router.crashGuard().received(reports.histories());
 	}
 
 	@Override
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -196,7 +196,7 @@
 		listen(this.settings.peers(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), documents));
 		announce();
 		this.crashGuard.records().read();
-		this.loop.schedule(this.callersPort::close, CallersPort.MOST_WAIT_MS, TimeUnit.MILLISECONDS);
+		this.loop.schedule(this.callersPort::close, CallersPort.MAX_WAIT_MS, TimeUnit.MILLISECONDS);
 		this.loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
 		ReadyHandler ready = new ReadyHandler(this.dialect.readyPath(), this::ready, this.metrics);
 		listen(this.settings.ready(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), ready));
@@ -260,7 +260,7 @@
 		this.leadership.storeRestored();
 		this.configurationSynchronizer.storeRestored();
 		this.directorySynchronizer.storeRestored();
-		this.crashGuard.records().storeReturned();
+		this.crashGuard.records().storeRestored();
 		long jitterMs = ANNOUNCE_JITTER_MS_PER_ROUTER * this.peers.routerCount(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(jitterMs), TimeUnit.MILLISECONDS);
 	}
@@ -356,7 +356,7 @@
 		long idleMs = (configuration() != null) ? configuration().limits().idleTimeoutMs()
 				: CallerLimits.DEFAULT.idleTimeoutMs();
 		long nowMs = nowMs();
-		Set.copyOf(this.callers).forEach((caller) -> caller.endIfQuiet(nowMs, idleMs));
+		Set.copyOf(this.callers).forEach((caller) -> caller.closeIfInactive(nowMs, idleMs));
 		this.metrics.state("version", (configuration() != null) ? configuration().version() : -1);
 		this.metrics.state("proof_age_ms", this.proof.ageMs(this.boot.nowMs()));
 		this.metrics.state("store_era", this.store.era().current());
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
@@ -83,7 +83,7 @@
 
 	private static boolean cut(CallerConnection caller) {
 		try {
-			return caller.routerEnds();
+			return caller.onRouterExit();
 		}
 		catch (RuntimeException ex) {
 			// The remaining callers must still be notified, and the process must exit.
