--- a/whinjunction-core/src/main/java/io/whinjunction/chain/Crowding.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/Congestion.java
@@ -8,7 +8,7 @@
  * first and strongly near the end, and beyond the end nothing new comes: requests that an
  * engine has no room for wait there until others end. Stateless.
  */
-public final class Crowding {
+public final class Congestion {
 
 	/**
 	 * Tokens that other routers may have sent to an engine since they last said.
@@ -24,7 +24,7 @@
 	/** Where the strong part begins. */
 	private static final double STRONG_FROM = 0.7;
 
-	private Crowding() {
+	private Congestion() {
 	}
 
 	/**
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
@@ -42,7 +42,7 @@
 		int held = engine.heldLayers();
 		double room = Math.max(1, profile.roomTokens(engine.kind(), held));
 		double writing = load.usedPart() * room / Math.max(1, profile.usualTokens());
-		double crowdedMs = Crowding.costMs(load.usedPart() + tokens / room);
+		double crowdedMs = Congestion.costMs(load.usedPart() + tokens / room);
 		double penaltyMs = (load.avoided() ? AVOIDED_MS : 0) + SLOW_MS * (load.pace() - 1)
 				+ READING_PART * profile.readMs(engine.kind(), held, load.unreadTokens());
 		return new PathFinder.Candidate(engine,
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/CrowdingTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/CongestionTests.java
@@ -10,12 +10,12 @@
 /**
  * What a crowded engine costs.
  */
-class CrowdingTests {
+class CongestionTests {
 
 	@Property
 	void moreCrowdedCostsMore(@ForAll @DoubleRange(min = 0, max = 2) double one,
 			@ForAll @DoubleRange(min = 0, max = 2) double other) {
-		assertThat(Crowding.costMs(Math.max(one, other))).isGreaterThanOrEqualTo(Crowding.costMs(Math.min(one, other)));
+		assertThat(Congestion.costMs(Math.max(one, other))).isGreaterThanOrEqualTo(Congestion.costMs(Math.min(one, other)));
 	}
 
 	// A copy of a third of a fast engine's layers on a slow one costs 1.7 ms more a step;
@@ -26,8 +26,8 @@
 		double slowerMs = 9 * (MixedCards.PROFILE.layerStepMs(MixedCards.L4, 50)
 				- MixedCards.PROFILE.layerStepMs(MixedCards.A100, 50));
 
-		assertThat(Crowding.costMs(0.95) / 3).isGreaterThan(slowerMs);
-		assertThat(Crowding.costMs(0.3) / 3).isLessThan(slowerMs);
+		assertThat(Congestion.costMs(0.95) / 3).isGreaterThan(slowerMs);
+		assertThat(Congestion.costMs(0.3) / 3).isLessThan(slowerMs);
 	}
 
 	// Streams stand still for two seconds: an engine with room for twenty requests is
@@ -36,9 +36,9 @@
 	// small room.
 	@Test
 	void aSmallRoomCountsAsFullSooner() {
-		assertThat(Crowding.full(0.8, 100_000)).isFalse();
-		assertThat(Crowding.full(0.95, 100_000)).isTrue();
-		assertThat(Crowding.full(0.8, 20_000)).isTrue();
+		assertThat(Congestion.full(0.8, 100_000)).isFalse();
+		assertThat(Congestion.full(0.95, 100_000)).isTrue();
+		assertThat(Congestion.full(0.8, 20_000)).isTrue();
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-import io.whinjunction.chain.Crowding;
+import io.whinjunction.chain.Congestion;
 import io.whinjunction.chain.Engine;
 import io.whinjunction.chain.EngineKind;
 import io.whinjunction.chain.Hop;
@@ -153,7 +153,7 @@
 	}
 
 	private static boolean full(ModelProfile profile, EngineKind kind, LayerRange held, double usedPart) {
-		return Crowding.full(usedPart, profile.roomTokens(kind, held.end() - held.first()));
+		return Congestion.full(usedPart, profile.roomTokens(kind, held.end() - held.first()));
 	}
 
 	/**
