--- a/whinjunction-core/src/main/java/io/whinjunction/forward/AttemptEnd.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/AttemptOutcome.java
@@ -4,7 +4,7 @@
  * How an attempt at one upstream ended without an answer that goes to the caller as it
  * is. Immutable.
  */
-public sealed interface AttemptEnd {
+public sealed interface AttemptOutcome {
 
 	/**
 	 * Why, in a word for logs.
@@ -17,7 +17,7 @@
 	 *
 	 * @param reason why
 	 */
-	record NotSent(String reason) implements AttemptEnd {
+	record NotSent(String reason) implements AttemptOutcome {
 	}
 
 	/**
@@ -25,7 +25,7 @@
 	 *
 	 * @param reason why
 	 */
-	record NotRun(String reason) implements AttemptEnd {
+	record NotRun(String reason) implements AttemptOutcome {
 	}
 
 	/**
@@ -33,7 +33,7 @@
 	 *
 	 * @param reason why
 	 */
-	record Unknown(String reason) implements AttemptEnd {
+	record Unknown(String reason) implements AttemptOutcome {
 	}
 
 	/**
@@ -41,7 +41,7 @@
 	 *
 	 * @param reason why
 	 */
-	record Failed(String reason) implements AttemptEnd {
+	record Failed(String reason) implements AttemptOutcome {
 	}
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
@@ -44,9 +44,9 @@
 	 * @param budget grants repeats; asked last, so that nothing is taken in vain
 	 * @return the next step
 	 */
-	public static NextStep next(Route route, AttemptEnd end, History history, long leftMs, Budget budget) {
-		boolean mayHaveRun = history.mayHaveRun() || end instanceof AttemptEnd.Unknown
-				|| end instanceof AttemptEnd.Failed;
+	public static NextStep next(Route route, AttemptOutcome end, History history, long leftMs, Budget budget) {
+		boolean mayHaveRun = history.mayHaveRun() || end instanceof AttemptOutcome.Unknown
+				|| end instanceof AttemptOutcome.Failed;
 		boolean allowed = !mayHaveRun || route.repeatable();
 		boolean useful = leftMs >= LEAST_USEFUL_MS;
 		if (allowed && useful && countsAllow(route, end, history) && granted(end, history, budget)) {
@@ -65,19 +65,19 @@
 		return upstreams >= route.limits().maxAttempts();
 	}
 
-	private static boolean countsAllow(Route route, AttemptEnd end, History history) {
-		if (end instanceof AttemptEnd.NotSent) {
+	private static boolean countsAllow(Route route, AttemptOutcome end, History history) {
+		if (end instanceof AttemptOutcome.NotSent) {
 			return history.notSent() < MOST_NOT_SENT;
 		}
 		int most = route.limits().maxAttempts();
 		// A route that allows one upstream wants no second attempt at all.
-		boolean more = most > 1 && !(end instanceof AttemptEnd.Failed);
+		boolean more = most > 1 && !(end instanceof AttemptOutcome.Failed);
 		return history.sent() < (more ? most + MORE_AT_TRIED : most);
 	}
 
-	private static boolean granted(AttemptEnd end, History history, Budget budget) {
+	private static boolean granted(AttemptOutcome end, History history, Budget budget) {
 		// The next send is the request's first arrival where nothing was sent before.
-		return (end instanceof AttemptEnd.NotSent && history.sent() == 0) || budget.tryRepeat();
+		return (end instanceof AttemptOutcome.NotSent && history.sent() == 0) || budget.tryRepeat();
 	}
 
 	/**
--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
@@ -101,25 +101,25 @@
 				return refuse(choice);
 			}
 			this.attempt++;
-			AttemptEnd end = attempt(chosen.pipeline(), sink);
+			AttemptOutcome end = attempt(chosen.pipeline(), sink);
 			switch (end) {
-				case AttemptEnd.Whole ignored -> {
+				case AttemptOutcome.Whole ignored -> {
 					return new Outcome.Answered();
 				}
-				case AttemptEnd.CallerGone ignored -> {
+				case AttemptOutcome.CallerGone ignored -> {
 					return givenUp(Code.UPSTREAM_FAILED, "The caller left before the answer was whole.");
 				}
-				case AttemptEnd.TooLate ignored -> {
+				case AttemptOutcome.TooLate ignored -> {
 					return givenUp(Code.DEADLINE, "The answer was not whole before its deadline.");
 				}
-				case AttemptEnd.Stopping ignored -> {
+				case AttemptOutcome.Stopping ignored -> {
 					return givenUp(Code.STOPPING, "This entry stops; its time was up before the answer was whole.");
 				}
-				case AttemptEnd.RuleChanged ignored -> {
+				case AttemptOutcome.RuleChanged ignored -> {
 					// Goes on where the data may be now, or ends; no engine is to blame.
 					// The answer is kept: another question might be a second wait.
 				}
-				case AttemptEnd.StageFailed ignored -> {
+				case AttemptOutcome.StageFailed ignored -> {
 					if (late()) {
 						return givenUp(Code.DEADLINE, "The answer was not whole before its deadline.");
 					}
@@ -143,7 +143,7 @@
 		return choice;
 	}
 
-	private AttemptEnd attempt(Pipeline pipeline, TokenSink sink) {
+	private AttemptOutcome attempt(Pipeline pipeline, TokenSink sink) {
 		this.ledger.abandon();
 		List<UpstreamLoad> loads = new ArrayList<>();
 		List<HopRecorder> recorders = new ArrayList<>();
@@ -162,7 +162,7 @@
 		}
 	}
 
-	private AttemptEnd tokens(Pipeline pipeline, List<HopRecorder> recorders, TokenSink sink) {
+	private AttemptOutcome tokens(Pipeline pipeline, List<HopRecorder> recorders, TokenSink sink) {
 		// The first step of an attempt computes the prompt and every token the caller
 		// already has, which builds the KV cache of all stages; then one at a time.
 		int position = 0;
@@ -173,20 +173,20 @@
 			// First, since the answer may be waited for.
 			boolean permitted = stillPermitted(pipeline, sink);
 			if (sink.cancelled()) {
-				return new AttemptEnd.CallerGone();
+				return new AttemptOutcome.CallerGone();
 			}
 			if (late()) {
-				return new AttemptEnd.TooLate();
+				return new AttemptOutcome.TooLate();
 			}
 			if (sink.stopping()) {
-				return new AttemptEnd.Stopping();
+				return new AttemptOutcome.Stopping();
 			}
 			if (!permitted) {
-				return new AttemptEnd.RuleChanged();
+				return new AttemptOutcome.RuleChanged();
 			}
 			String token = token(pipeline, recorders, position, inputs);
 			if (token == null) {
-				return new AttemptEnd.StageFailed();
+				return new AttemptOutcome.StageFailed();
 			}
 			position += inputs.size();
 			inputs = List.of(token);
@@ -194,7 +194,7 @@
 			this.budget.progressed();
 			sink.token(token);
 		}
-		return new AttemptEnd.Whole();
+		return new AttemptOutcome.Whole();
 	}
 
 	// A place rule may be tightened while a long draft runs; it is in force for the next
@@ -309,24 +309,24 @@
 		}
 	}
 
-	private sealed interface AttemptEnd {
+	private sealed interface AttemptOutcome {
 
-		record Whole() implements AttemptEnd {
+		record Whole() implements AttemptOutcome {
 		}
 
-		record CallerGone() implements AttemptEnd {
+		record CallerGone() implements AttemptOutcome {
 		}
 
-		record TooLate() implements AttemptEnd {
+		record TooLate() implements AttemptOutcome {
 		}
 
-		record Stopping() implements AttemptEnd {
+		record Stopping() implements AttemptOutcome {
 		}
 
-		record RuleChanged() implements AttemptEnd {
+		record RuleChanged() implements AttemptOutcome {
 		}
 
-		record StageFailed() implements AttemptEnd {
+		record StageFailed() implements AttemptOutcome {
 		}
 
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
@@ -18,8 +18,8 @@
  */
 class RetryPolicyTests {
 
-	private static final AttemptEnd[] ENDS = { new AttemptEnd.NotSent("x"), new AttemptEnd.NotRun("x"),
-			new AttemptEnd.Unknown("x"), new AttemptEnd.Failed("x") };
+	private static final AttemptOutcome[] ENDS = { new AttemptOutcome.NotSent("x"), new AttemptOutcome.NotRun("x"),
+			new AttemptOutcome.Unknown("x"), new AttemptOutcome.Failed("x") };
 
 	// A clerk's confirmation is billed twice: the first upstream ran it and its answer
 	// was lost, and a second one ran it again.
@@ -49,26 +49,26 @@
 
 	@Test
 	void aRouteThatAllowsOneUpstreamGetsOneSend() {
-		assertThat(next(RequestKind.NON_IDEMPOTENT, 1, new AttemptEnd.NotRun("x"), 1))
+		assertThat(next(RequestKind.NON_IDEMPOTENT, 1, new AttemptOutcome.NotRun("x"), 1))
 			.isInstanceOf(NextStep.Refuse.class);
 	}
 
 	@Test
 	void aFailureOfAnIdempotentRequestIsTriedAgainOnce() {
-		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptEnd.Failed("x"), 1))
+		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.Failed("x"), 1))
 			.isInstanceOf(NextStep.TryAgain.class);
-		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptEnd.Failed("x"), 2)).isInstanceOf(NextStep.Fail.class);
+		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.Failed("x"), 2)).isInstanceOf(NextStep.Fail.class);
 	}
 
 	@Test
 	void whatWasLostOrNotRunIsTriedOnceMoreAtUpstreamsThatWereTried() {
 		Route route = route(RequestKind.IDEMPOTENT, 2);
 
-		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptEnd.NotRun("x"), 2))
+		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 2))
 			.isInstanceOf(NextStep.TryAgain.class);
 		assertThat(RetryPolicy.onlyTriedOnes(route, 2)).isTrue();
 		assertThat(RetryPolicy.onlyTriedOnes(route, 1)).isFalse();
-		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptEnd.NotRun("x"), 3)).isInstanceOf(NextStep.Refuse.class);
+		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 3)).isInstanceOf(NextStep.Refuse.class);
 	}
 
 	@Test
@@ -76,22 +76,22 @@
 		Route route = route(RequestKind.IDEMPOTENT, 2);
 		RetryPolicy.History once = new RetryPolicy.History(1, 0, false);
 
-		assertThat(RetryPolicy.next(route, new AttemptEnd.NotRun("x"), once, 1000, () -> false))
+		assertThat(RetryPolicy.next(route, new AttemptOutcome.NotRun("x"), once, 1000, () -> false))
 			.isInstanceOf(NextStep.Refuse.class);
 		assertThat(
-				RetryPolicy.next(route, new AttemptEnd.NotRun("x"), once, RetryPolicy.LEAST_USEFUL_MS - 1, () -> true))
+				RetryPolicy.next(route, new AttemptOutcome.NotRun("x"), once, RetryPolicy.LEAST_USEFUL_MS - 1, () -> true))
 			.isInstanceOf(NextStep.Refuse.class);
 	}
 
 	@Test
 	void aFirstSendAfterAnUpstreamThatCouldNotBeReachedCostsNoBudget() {
-		NextStep next = RetryPolicy.next(route(RequestKind.NON_IDEMPOTENT, 1), new AttemptEnd.NotSent("x"),
+		NextStep next = RetryPolicy.next(route(RequestKind.NON_IDEMPOTENT, 1), new AttemptOutcome.NotSent("x"),
 				new RetryPolicy.History(0, 1, false), 1000, () -> false);
 
 		assertThat(next).isInstanceOf(NextStep.TryAgain.class);
 	}
 
-	private static NextStep next(RequestKind kind, int most, AttemptEnd end, int sent) {
+	private static NextStep next(RequestKind kind, int most, AttemptOutcome end, int sent) {
 		return RetryPolicy.next(route(kind, most), end, new RetryPolicy.History(sent, 0, false), 1000, () -> true);
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -19,7 +19,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.whinjunction.chain.Hop;
-import io.whinjunction.forward.AttemptEnd;
+import io.whinjunction.forward.AttemptOutcome;
 import io.whinjunction.routing.RequestKind;
 
 /**
@@ -139,7 +139,7 @@
 
 	private void notSent(String reason) {
 		this.session.history().notSentOnce();
-		end(new AttemptEnd.NotSent(reason), null);
+		end(new AttemptOutcome.NotSent(reason), null);
 	}
 
 	private void send() {
@@ -389,10 +389,10 @@
 			endStream();
 		}
 		else if (this.head.notRun()) {
-			end(new AttemptEnd.NotRun("status-" + this.head.status()), this.head.faultyAddress());
+			end(new AttemptOutcome.NotRun("status-" + this.head.status()), this.head.faultyAddress());
 		}
 		else if (this.head.success() && !this.head.genuine()) {
-			end(new AttemptEnd.Unknown("not-genuine"), null);
+			end(new AttemptOutcome.Unknown("not-genuine"), null);
 		}
 		else if (this.session.answerBegun()) {
 			endLargeOrResumed();
@@ -418,7 +418,7 @@
 			this.session.onStreamEnd(this.answer);
 		}
 		else {
-			end(new AttemptEnd.Failed("status-" + this.head.status()), this.head.faultyAddress());
+			end(new AttemptOutcome.Failed("status-" + this.head.status()), this.head.faultyAddress());
 		}
 	}
 
@@ -444,7 +444,7 @@
 		if (connectionEnded && !refused) {
 			judgeCrash();
 		}
-		this.session.onAttemptEnd(refused ? new AttemptEnd.NotRun(reason) : new AttemptEnd.Unknown(reason),
+		this.session.onAttemptEnd(refused ? new AttemptOutcome.NotRun(reason) : new AttemptOutcome.Unknown(reason),
 				(this.head != null) ? this.head.faultyAddress() : null);
 	}
 
@@ -465,7 +465,7 @@
 		}
 	}
 
-	private void end(AttemptEnd end, String faultyAddress) {
+	private void end(AttemptOutcome end, String faultyAddress) {
 		settle();
 		this.session.onAttemptEnd(end, faultyAddress);
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-import io.whinjunction.forward.AttemptEnd;
+import io.whinjunction.forward.AttemptOutcome;
 import io.whinjunction.forward.NextStep;
 import io.whinjunction.forward.RetryPolicy;
 
@@ -51,8 +51,8 @@
 	 * An attempt ended.
 	 * @param end how
 	 */
-	void ended(AttemptEnd end) {
-		this.mayHaveRun |= end instanceof AttemptEnd.Unknown || end instanceof AttemptEnd.Failed;
+	void ended(AttemptOutcome end) {
+		this.mayHaveRun |= end instanceof AttemptOutcome.Unknown || end instanceof AttemptOutcome.Failed;
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.util.concurrent.ScheduledFuture;
 import io.whinjunction.chain.Hop;
-import io.whinjunction.forward.AttemptEnd;
+import io.whinjunction.forward.AttemptOutcome;
 import io.whinjunction.forward.CrashingRequests;
 import io.whinjunction.forward.NextStep;
 import io.whinjunction.forward.RequestFingerprint;
@@ -287,7 +287,7 @@
 	 * @param end how
 	 * @param faultyAddress the engine that made it fail, or {@code null}
 	 */
-	void onAttemptEnd(AttemptEnd end, String faultyAddress) {
+	void onAttemptEnd(AttemptOutcome end, String faultyAddress) {
 		Attempt ended = this.attempt;
 		this.attempt = null;
 		avoid(ended, end, faultyAddress);
@@ -325,7 +325,7 @@
 		Attempt stalled = this.attempt;
 		if (stalled != null && !this.done) {
 			stalled.abandon();
-			onAttemptEnd(new AttemptEnd.Unknown("stalled"), address);
+			onAttemptEnd(new AttemptOutcome.Unknown("stalled"), address);
 		}
 	}
 
@@ -338,7 +338,7 @@
 		if (outlivesRouter()) {
 			return false;
 		}
-		AttemptEnd end = new AttemptEnd.Unknown("stalled");
+		AttemptOutcome end = new AttemptOutcome.Unknown("stalled");
 		RetryPolicy.History counted = new RetryPolicy.History(this.history.sent(), this.history.notSent(), true);
 		NextStep next = RetryPolicy.next(this.route, end, counted, leftMs(), this::repeatGranted);
 		if (!(next instanceof NextStep.TryAgain)) {
@@ -375,7 +375,7 @@
 			.tryRepeat(this.router.nowMs(), this.router.peers().sharers(this.router.nowMs()));
 	}
 
-	private void avoid(Attempt ended, AttemptEnd end, String faultyAddress) {
+	private void avoid(Attempt ended, AttemptOutcome end, String faultyAddress) {
 		long untilMs = this.router.nowMs() + AVOID_MS;
 		UpstreamState faulty = (faultyAddress != null)
 				? this.router.directory().findByAddress(this.service.name(), faultyAddress) : null;
@@ -392,7 +392,7 @@
 			this.history.failedAt(first.incarnation());
 		}
 		UpstreamState state = this.router.directory().find(first.incarnation());
-		if (state != null && !(end instanceof AttemptEnd.Failed)) {
+		if (state != null && !(end instanceof AttemptOutcome.Failed)) {
 			state.avoidUntil(untilMs);
 		}
 	}
@@ -460,7 +460,7 @@
 	void onFailedAnswer(Answer answer) {
 		ranWell();
 		this.failedAnswer = answer;
-		onAttemptEnd(new AttemptEnd.Failed("status-" + answer.status().code()), null);
+		onAttemptEnd(new AttemptOutcome.Failed("status-" + answer.status().code()), null);
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RequestLog.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RequestLog.java
@@ -1,7 +1,7 @@
 package io.whinjunction.router;
 
 import com.google.common.flogger.FluentLogger;
-import io.whinjunction.forward.AttemptEnd;
+import io.whinjunction.forward.AttemptOutcome;
 import io.whinjunction.routing.Route;
 import io.whinjunction.routing.RoutingConfiguration;
 
@@ -86,7 +86,7 @@
 	 * @param end how it ended
 	 * @param faultyAddress the engine that made it fail, or {@code null}
 	 */
-	static void attemptEnded(ForwardSession session, Attempt attempt, AttemptEnd end, String faultyAddress) {
+	static void attemptEnded(ForwardSession session, Attempt attempt, AttemptOutcome end, String faultyAddress) {
 		String kind = end.getClass().getSimpleName();
 		session.router().metrics().attempt(kind);
 		logger.atInfo()
