--- a/whinjunction-core/src/main/java/io/whinjunction/forward/NextStep.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryDecision.java
@@ -3,18 +3,18 @@
 /**
  * What follows after an attempt has ended. Immutable.
  */
-public sealed interface NextStep {
+public sealed interface RetryDecision {
 
 	/** The request goes to another upstream. */
-	record TryAgain() implements NextStep {
+	record TryAgain() implements RetryDecision {
 	}
 
 	/** The request has not run and never will; the caller is told when to come back. */
-	record Refuse() implements NextStep {
+	record Refuse() implements RetryDecision {
 	}
 
 	/** The request may have run; the caller is told that nothing is promised. */
-	record Fail() implements NextStep {
+	record Fail() implements RetryDecision {
 	}
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
@@ -44,15 +44,15 @@
 	 * @param budget grants repeats; asked last, so that nothing is taken in vain
 	 * @return the next step
 	 */
-	public static NextStep next(Route route, AttemptOutcome end, History history, long leftMs, Budget budget) {
+	public static RetryDecision next(Route route, AttemptOutcome end, History history, long leftMs, Budget budget) {
 		boolean mayHaveRun = history.mayHaveRun() || end instanceof AttemptOutcome.Unknown
 				|| end instanceof AttemptOutcome.Failed;
 		boolean allowed = !mayHaveRun || route.repeatable();
 		boolean useful = leftMs >= LEAST_USEFUL_MS;
 		if (allowed && useful && countsAllow(route, end, history) && granted(end, history, budget)) {
-			return new NextStep.TryAgain();
+			return new RetryDecision.TryAgain();
 		}
-		return mayHaveRun ? new NextStep.Fail() : new NextStep.Refuse();
+		return mayHaveRun ? new RetryDecision.Fail() : new RetryDecision.Refuse();
 	}
 
 	/**
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
@@ -28,11 +28,11 @@
 			@ForAll boolean before, @ForAll @IntRange(min = 1, max = 4) int sent) {
 		boolean mayHaveRun = before || end >= 2;
 
-		NextStep next = RetryPolicy.next(route(RequestKind.NON_IDEMPOTENT, 4), ENDS[end],
+		RetryDecision next = RetryPolicy.next(route(RequestKind.NON_IDEMPOTENT, 4), ENDS[end],
 				new RetryPolicy.History(sent, 0, before), 1000, () -> true);
 
 		if (mayHaveRun) {
-			assertThat(next).isInstanceOf(NextStep.Fail.class);
+			assertThat(next).isInstanceOf(RetryDecision.Fail.class);
 		}
 	}
 
@@ -40,24 +40,24 @@
 	@Property
 	void aRefusalIsOnlySaidWhereNothingCanHaveRun(@ForAll @IntRange(min = 0, max = 3) int end, @ForAll boolean before,
 			@ForAll @IntRange(min = 0, max = 2) int kind, @ForAll @IntRange(min = 0, max = 100) long leftMs) {
-		NextStep next = RetryPolicy.next(route(RequestKind.values()[kind], 2), ENDS[end],
+		RetryDecision next = RetryPolicy.next(route(RequestKind.values()[kind], 2), ENDS[end],
 				new RetryPolicy.History(5, 5, before), leftMs, () -> false);
 
 		boolean mayHaveRun = before || end >= 2;
-		assertThat(next).isInstanceOf(mayHaveRun ? NextStep.Fail.class : NextStep.Refuse.class);
+		assertThat(next).isInstanceOf(mayHaveRun ? RetryDecision.Fail.class : RetryDecision.Refuse.class);
 	}
 
 	@Test
 	void aRouteThatAllowsOneUpstreamGetsOneSend() {
 		assertThat(next(RequestKind.NON_IDEMPOTENT, 1, new AttemptOutcome.NotRun("x"), 1))
-			.isInstanceOf(NextStep.Refuse.class);
+			.isInstanceOf(RetryDecision.Refuse.class);
 	}
 
 	@Test
 	void aFailureOfAnIdempotentRequestIsTriedAgainOnce() {
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.Failed("x"), 1))
-			.isInstanceOf(NextStep.TryAgain.class);
-		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.Failed("x"), 2)).isInstanceOf(NextStep.Fail.class);
+			.isInstanceOf(RetryDecision.TryAgain.class);
+		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.Failed("x"), 2)).isInstanceOf(RetryDecision.Fail.class);
 	}
 
 	@Test
@@ -65,10 +65,10 @@
 		Route route = route(RequestKind.IDEMPOTENT, 2);
 
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 2))
-			.isInstanceOf(NextStep.TryAgain.class);
+			.isInstanceOf(RetryDecision.TryAgain.class);
 		assertThat(RetryPolicy.onlyTriedOnes(route, 2)).isTrue();
 		assertThat(RetryPolicy.onlyTriedOnes(route, 1)).isFalse();
-		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 3)).isInstanceOf(NextStep.Refuse.class);
+		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 3)).isInstanceOf(RetryDecision.Refuse.class);
 	}
 
 	@Test
@@ -77,21 +77,21 @@
 		RetryPolicy.History once = new RetryPolicy.History(1, 0, false);
 
 		assertThat(RetryPolicy.next(route, new AttemptOutcome.NotRun("x"), once, 1000, () -> false))
-			.isInstanceOf(NextStep.Refuse.class);
+			.isInstanceOf(RetryDecision.Refuse.class);
 		assertThat(
 				RetryPolicy.next(route, new AttemptOutcome.NotRun("x"), once, RetryPolicy.LEAST_USEFUL_MS - 1, () -> true))
-			.isInstanceOf(NextStep.Refuse.class);
+			.isInstanceOf(RetryDecision.Refuse.class);
 	}
 
 	@Test
 	void aFirstSendAfterAnUpstreamThatCouldNotBeReachedCostsNoBudget() {
-		NextStep next = RetryPolicy.next(route(RequestKind.NON_IDEMPOTENT, 1), new AttemptOutcome.NotSent("x"),
+		RetryDecision next = RetryPolicy.next(route(RequestKind.NON_IDEMPOTENT, 1), new AttemptOutcome.NotSent("x"),
 				new RetryPolicy.History(0, 1, false), 1000, () -> false);
 
-		assertThat(next).isInstanceOf(NextStep.TryAgain.class);
+		assertThat(next).isInstanceOf(RetryDecision.TryAgain.class);
 	}
 
-	private static NextStep next(RequestKind kind, int most, AttemptOutcome end, int sent) {
+	private static RetryDecision next(RequestKind kind, int most, AttemptOutcome end, int sent) {
 		return RetryPolicy.next(route(kind, most), end, new RetryPolicy.History(sent, 0, false), 1000, () -> true);
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 import io.whinjunction.forward.AttemptOutcome;
-import io.whinjunction.forward.NextStep;
+import io.whinjunction.forward.RetryDecision;
 import io.whinjunction.forward.RetryPolicy;
 
 /**
@@ -88,8 +88,8 @@
 	 * @param underWay whether an upstream has the request now
 	 * @return a refusal only where nothing can have run
 	 */
-	NextStep givenUp(boolean underWay) {
-		return (this.mayHaveRun || underWay) ? new NextStep.Fail() : new NextStep.Refuse();
+	RetryDecision givenUp(boolean underWay) {
+		return (this.mayHaveRun || underWay) ? new RetryDecision.Fail() : new RetryDecision.Refuse();
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -13,7 +13,7 @@
 import io.whinjunction.chain.Hop;
 import io.whinjunction.forward.AttemptOutcome;
 import io.whinjunction.forward.CrashingRequests;
-import io.whinjunction.forward.NextStep;
+import io.whinjunction.forward.RetryDecision;
 import io.whinjunction.forward.RequestFingerprint;
 import io.whinjunction.forward.RetryPolicy;
 import io.whinjunction.routing.RequestKind;
@@ -188,7 +188,7 @@
 			onAnswerOverTime();
 			return;
 		}
-		if (givenUp() instanceof NextStep.Fail) {
+		if (givenUp() instanceof RetryDecision.Fail) {
 			finish("failed", "timeout", Answer.own(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time"));
 		}
 		else {
@@ -224,7 +224,7 @@
 		this.fingerprint = RequestFingerprint.of(Objects.requireNonNullElse(teamName(), ""), this.request.method(),
 				this.request.host(), this.request.uri(), this.body.soFar().nioBuffer());
 		if (outlivesRouter()) {
-			giveUp(new NextStep.Refuse(), STOPPING);
+			giveUp(new RetryDecision.Refuse(), STOPPING);
 			return;
 		}
 		tryNext();
@@ -302,18 +302,18 @@
 			giveUp(givenUp(), STOPPING);
 			return;
 		}
-		NextStep next = RetryPolicy.next(this.route, end, before, leftMs(), this::repeatGranted);
+		RetryDecision next = RetryPolicy.next(this.route, end, before, leftMs(), this::repeatGranted);
 		// What was passed on of an answer without events can't be taken back.
 		boolean replayable = !this.body.passingThrough()
 				&& (!this.answerBegun || this.route.kind() == RequestKind.STREAMING);
-		if (next instanceof NextStep.TryAgain && replayable) {
+		if (next instanceof RetryDecision.TryAgain && replayable) {
 			tryNext();
 			return;
 		}
 		giveUp(givenUp(), end.reason());
 	}
 
-	private NextStep givenUp() {
+	private RetryDecision givenUp() {
 		return this.history.givenUp(this.attempt != null && this.attempt.sent());
 	}
 
@@ -340,8 +340,8 @@
 		}
 		AttemptOutcome end = new AttemptOutcome.Unknown("stalled");
 		RetryPolicy.History counted = new RetryPolicy.History(this.history.sent(), this.history.notSent(), true);
-		NextStep next = RetryPolicy.next(this.route, end, counted, leftMs(), this::repeatGranted);
-		if (!(next instanceof NextStep.TryAgain)) {
+		RetryDecision next = RetryPolicy.next(this.route, end, counted, leftMs(), this::repeatGranted);
+		if (!(next instanceof RetryDecision.TryAgain)) {
 			return false;
 		}
 		Attempt stalled = this.attempt;
@@ -397,11 +397,11 @@
 		}
 	}
 
-	private void giveUp(NextStep step, String reason) {
+	private void giveUp(RetryDecision step, String reason) {
 		giveUp(step, reason, reason.equals(STOPPING) ? RequestGate.RETRY_ELSEWHERE_MS : RETRY_AFTER_MS);
 	}
 
-	private void giveUp(NextStep step, String reason, long retryAfterMs) {
+	private void giveUp(RetryDecision step, String reason, long retryAfterMs) {
 		if (this.answerBegun) {
 			end("broken", reason);
 			this.caller.abort();
@@ -409,7 +409,7 @@
 		else if (this.failedAnswer != null) {
 			finish("failed-upstream", reason, this.failedAnswer);
 		}
-		else if (step instanceof NextStep.Refuse) {
+		else if (step instanceof RetryDecision.Refuse) {
 			finish("refused", reason, Answer.refusal("it was not run: " + reason, retryAfterMs));
 		}
 		else {
@@ -430,7 +430,7 @@
 	void onCrashesUpstreams() {
 		// One that has brought results is another one's victim.
 		if (!this.triesAgain && !this.answerBegun && this.attempt != null && this.attempt.underWay()) {
-			giveUp(new NextStep.Fail(), CRASHES_UPSTREAMS);
+			giveUp(new RetryDecision.Fail(), CRASHES_UPSTREAMS);
 		}
 	}
 
