--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryDecision.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryDecision.java
@@ -6,7 +6,7 @@
 public sealed interface RetryDecision {
 
 	/** The request goes to another upstream. */
-	record TryAgain() implements RetryDecision {
+	record Retry() implements RetryDecision {
 	}
 
 	/** The request has not run and never will; the caller is told when to come back. */
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
@@ -50,7 +50,7 @@
 		boolean allowed = !mayHaveRun || route.repeatable();
 		boolean useful = leftMs >= LEAST_USEFUL_MS;
 		if (allowed && useful && countsAllow(route, end, history) && granted(end, history, budget)) {
-			return new RetryDecision.TryAgain();
+			return new RetryDecision.Retry();
 		}
 		return mayHaveRun ? new RetryDecision.Fail() : new RetryDecision.Refuse();
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
@@ -56,7 +56,7 @@
 	@Test
 	void aFailureOfAnIdempotentRequestIsTriedAgainOnce() {
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.Failed("x"), 1))
-			.isInstanceOf(RetryDecision.TryAgain.class);
+			.isInstanceOf(RetryDecision.Retry.class);
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.Failed("x"), 2)).isInstanceOf(RetryDecision.Fail.class);
 	}
 
@@ -65,7 +65,7 @@
 		Route route = route(RequestKind.IDEMPOTENT, 2);
 
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 2))
-			.isInstanceOf(RetryDecision.TryAgain.class);
+			.isInstanceOf(RetryDecision.Retry.class);
 		assertThat(RetryPolicy.onlyTriedOnes(route, 2)).isTrue();
 		assertThat(RetryPolicy.onlyTriedOnes(route, 1)).isFalse();
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 3)).isInstanceOf(RetryDecision.Refuse.class);
@@ -88,7 +88,7 @@
 		RetryDecision next = RetryPolicy.next(route(RequestKind.NON_IDEMPOTENT, 1), new AttemptOutcome.NotSent("x"),
 				new RetryPolicy.History(0, 1, false), 1000, () -> false);
 
-		assertThat(next).isInstanceOf(RetryDecision.TryAgain.class);
+		assertThat(next).isInstanceOf(RetryDecision.Retry.class);
 	}
 
 	private static RetryDecision next(RequestKind kind, int most, AttemptOutcome end, int sent) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -306,7 +306,7 @@
 		// What was passed on of an answer without events can't be taken back.
 		boolean replayable = !this.body.passingThrough()
 				&& (!this.answerBegun || this.route.kind() == RequestKind.STREAMING);
-		if (next instanceof RetryDecision.TryAgain && replayable) {
+		if (next instanceof RetryDecision.Retry && replayable) {
 			tryNext();
 			return;
 		}
@@ -341,7 +341,7 @@
 		AttemptOutcome end = new AttemptOutcome.Unknown("stalled");
 		RetryPolicy.History counted = new RetryPolicy.History(this.history.sent(), this.history.notSent(), true);
 		RetryDecision next = RetryPolicy.next(this.route, end, counted, leftMs(), this::repeatGranted);
-		if (!(next instanceof RetryDecision.TryAgain)) {
+		if (!(next instanceof RetryDecision.Retry)) {
 			return false;
 		}
 		Attempt stalled = this.attempt;
