--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
@@ -66,7 +66,7 @@
 				+ model.readMs(engine.kind(), layers, model.usualPromptTokens());
 		// A request holds its memory while all of its tokens pass at least this engine.
 		double heldMs = model.usualAnswerTokens() * (idleMs + tokenMs);
-		double room = model.roomTokens(engine.kind(), engine.heldLayers()) / (double) model.usualTokens();
+		double room = model.kvCapacityTokens(engine.kind(), engine.heldLayers()) / (double) model.usualTokens();
 		return Math.min(MS_PER_S / workMs, room * MS_PER_S / heldMs);
 	}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -313,7 +313,7 @@
 
 		boolean fits(EmulatedStream stream, Hop hop) {
 			double room = ChainEmulator.this.fleet.model()
-				.roomTokenLayers(this.engine.kind(), this.engine.heldLayers());
+				.kvCapacityTokenLayers(this.engine.kind(), this.engine.heldLayers());
 			int layers = hop.layers().end() - hop.layers().first();
 			return this.usedTokenLayers + stream.tokens() * (double) layers <= room;
 		}
@@ -324,7 +324,7 @@
 
 		PathCosts.Load load(double told, int router) {
 			double room = ChainEmulator.this.fleet.model()
-				.roomTokenLayers(this.engine.kind(), this.engine.heldLayers());
+				.kvCapacityTokenLayers(this.engine.kind(), this.engine.heldLayers());
 			double unread = Math.max(0, this.unreadTokens[router]) * this.untold.length;
 			return new PathCosts.Load((told + this.untold[router]) / Math.max(1, room), unread, this.pace, false);
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ChainForecast.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ChainForecast.java
@@ -92,7 +92,7 @@
 	 */
 	public static double capacity(ModelProfile profile, List<Stage> stages) {
 		long room = stages.stream()
-			.mapToLong((stage) -> profile.roomTokens(stage.kind(), stage.layers()))
+			.mapToLong((stage) -> profile.kvCapacityTokens(stage.kind(), stage.layers()))
 			.min()
 			.orElse(0);
 		double mostWriting = Math.min(USABLE_ROOM * room / Math.max(1, profile.usualTokens()),
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
@@ -127,7 +127,7 @@
 			int roomiest = -1;
 			long mostRoom = RESERVE_TOKENS;
 			for (int index = 0; index < held.length; index++) {
-				long room = profile.roomTokens(members.get(index), held[index] + 1);
+				long room = profile.kvCapacityTokens(members.get(index), held[index] + 1);
 				if (room > mostRoom) {
 					mostRoom = room;
 					roomiest = index;
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
@@ -131,7 +131,7 @@
 				.sorted(Comparator.comparing(Engine::id))
 				.collect(Collectors.toCollection(ArrayList::new));
 			this.usualRoom = (long) (USUAL_ROOM_PART * this.holders.stream()
-				.mapToLong((engine) -> profile.roomTokens(engine.kind(), engine.heldLayers()))
+				.mapToLong((engine) -> profile.kvCapacityTokens(engine.kind(), engine.heldLayers()))
 				.min()
 				.orElse(0));
 			this.coverage = new int[profile.layers()];
@@ -163,7 +163,7 @@
 			}
 			Engine helper = this.empty.getLast();
 			LayerRange alone = alone(crowded.held());
-			long room = this.profile.roomTokens(crowded.kind(), crowded.heldLayers());
+			long room = this.profile.kvCapacityTokens(crowded.kind(), crowded.heldLayers());
 			int taken = Math.min(alone.end() - alone.first(), this.profile.mostLayers(helper.kind(), room));
 			return (taken > 0)
 					? Optional.of(new Placement(helper, new LayerRange(alone.first(), alone.first() + taken)))
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
@@ -51,7 +51,7 @@
 	 * @param held how many layers it holds
 	 * @return tokens that may pass through all of them at once; 0 where nothing is left
 	 */
-	public long roomTokens(EngineKind kind, int held) {
+	public long kvCapacityTokens(EngineKind kind, int held) {
 		if (held <= 0) {
 			return 0;
 		}
@@ -65,8 +65,8 @@
 	 * @param held how many layers it holds
 	 * @return tokens times layers that fit
 	 */
-	public long roomTokenLayers(EngineKind kind, int held) {
-		return roomTokens(kind, held) * held;
+	public long kvCapacityTokenLayers(EngineKind kind, int held) {
+		return kvCapacityTokens(kind, held) * held;
 	}
 
 	/**
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/MixedCards.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/MixedCards.java
@@ -77,7 +77,7 @@
 	static long leastRoom(List<Engine> engines) {
 		return engines.stream()
 			.filter((engine) -> engine.held() != null)
-			.mapToLong((engine) -> PROFILE.roomTokens(engine.kind(), engine.heldLayers()))
+			.mapToLong((engine) -> PROFILE.kvCapacityTokens(engine.kind(), engine.heldLayers()))
 			.min()
 			.orElse(0);
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -153,7 +153,7 @@
 	}
 
 	private static boolean full(ModelProfile profile, EngineKind kind, LayerRange held, double usedPart) {
-		return Congestion.full(usedPart, profile.roomTokens(kind, held.end() - held.first()));
+		return Congestion.full(usedPart, profile.kvCapacityTokens(kind, held.end() - held.first()));
 	}
 
 	/**
@@ -166,7 +166,7 @@
 	 */
 	double usedPart(ModelProfile profile, EngineKind kind, UpstreamState state, long nowMs) {
 		LayerRange held = state.upstream().held();
-		double room = profile.roomTokenLayers(kind, held.end() - held.first());
+		double room = profile.kvCapacityTokenLayers(kind, held.end() - held.first());
 		double used = state.tokenLayers() + this.peers.tokenLayersAt(state.incarnation(), nowMs);
 		return used / Math.max(1, room);
 	}
