--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
@@ -62,11 +62,11 @@
 	private static double rate(ModelProfile model, Engine engine, int layers) {
 		double idleMs = layers * model.layerStepMs(engine.kind(), 0);
 		double tokenMs = layers * model.layerStepMs(engine.kind(), 1) - idleMs;
-		double workMs = model.usualAnswerTokens() * tokenMs
-				+ model.readMs(engine.kind(), layers, model.usualPromptTokens());
+		double workMs = model.meanAnswerTokens() * tokenMs
+				+ model.readMs(engine.kind(), layers, model.meanPromptTokens());
 		// A request holds its memory while all of its tokens pass at least this engine.
-		double heldMs = model.usualAnswerTokens() * (idleMs + tokenMs);
-		double room = model.kvCapacityTokens(engine.kind(), engine.heldLayers()) / (double) model.usualTokens();
+		double heldMs = model.meanAnswerTokens() * (idleMs + tokenMs);
+		double room = model.kvCapacityTokens(engine.kind(), engine.heldLayers()) / (double) model.meanTokens();
 		return Math.min(MS_PER_S / workMs, room * MS_PER_S / heldMs);
 	}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -103,8 +103,8 @@
 	}
 
 	private void arrive() {
-		int usualPrompt = this.fleet.model().usualPromptTokens();
-		int usualAnswer = this.fleet.model().usualAnswerTokens();
+		int usualPrompt = this.fleet.model().meanPromptTokens();
+		int usualAnswer = this.fleet.model().meanAnswerTokens();
 		int prompt = (int) Math.clamp(-Math.log(1 - this.random.nextDouble()) * usualPrompt, 20, 3 * usualPrompt);
 		int answer = (int) Math.clamp(-Math.log(1 - this.random.nextDouble()) * usualAnswer, 8, 3 * usualAnswer);
 		EmulatedStream stream = new EmulatedStream("d" + this.random.nextInt(this.scenario.domains()),
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ChainForecast.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ChainForecast.java
@@ -60,8 +60,8 @@
 	 * @return the forecast
 	 */
 	public static ChainForecast of(ModelProfile profile, List<Stage> stages, double requestsPerSecond) {
-		double tokensPerMs = requestsPerSecond * profile.usualAnswerTokens() / MS_PER_S;
-		double readPerMs = requestsPerSecond * profile.usualPromptTokens() / MS_PER_S;
+		double tokensPerMs = requestsPerSecond * profile.meanAnswerTokens() / MS_PER_S;
+		double readPerMs = requestsPerSecond * profile.meanPromptTokens() / MS_PER_S;
 		double tokenMs = 0;
 		double readMs = 0;
 		double busiest = 0;
@@ -76,10 +76,10 @@
 			double passMs = (busy < 1) ? fixedMs / (1 - busy) : Double.POSITIVE_INFINITY;
 			double passing = Math.min(1, busy + tokensPerMs * fixedMs);
 			tokenMs += passMs * (1 + passing / 2) + perTokenMs + HOP_MS;
-			readMs += profile.usualPromptTokens() * promptTokenMs / Math.max(0.01, 1 - busy);
+			readMs += profile.meanPromptTokens() * promptTokenMs / Math.max(0.01, 1 - busy);
 		}
 		double firstEventMs = readMs + profile.stepsPerPass() * tokenMs;
-		double heldMs = readMs + profile.usualAnswerTokens() * tokenMs;
+		double heldMs = readMs + profile.meanAnswerTokens() * tokenMs;
 		return new ChainForecast(tokenMs, firstEventMs, requestsPerSecond * heldMs / MS_PER_S, busiest);
 	}
 
@@ -95,7 +95,7 @@
 			.mapToLong((stage) -> profile.kvCapacityTokens(stage.kind(), stage.layers()))
 			.min()
 			.orElse(0);
-		double mostWriting = Math.min(USABLE_ROOM * room / Math.max(1, profile.usualTokens()),
+		double mostWriting = Math.min(USABLE_ROOM * room / Math.max(1, profile.meanTokens()),
 				profile.requestsAtOnce());
 		double longestMs = Math.max(LONGEST_EVENT_MS / profile.stepsPerPass(),
 				LONGEST_TIMES_IDLE * of(profile, stages, 0).tokenMs);
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
@@ -20,14 +20,14 @@
  * @param loadsAtOnce loads that run at full speed at the same time
  * @param requestsAtOnce requests that an engine runs at the same time
  * @param transfer what moving activations costs
- * @param usualPromptTokens the mean prompt, in tokens
- * @param usualAnswerTokens the mean answer, in tokens
+ * @param meanPromptTokens the mean prompt, in tokens
+ * @param meanAnswerTokens the mean answer, in tokens
  * @param kinds the kinds of accelerators by name
  */
 public record ModelProfile(String name, int layers, double layerMb, double kvBytesPerToken, double stepMs,
 		double stepPerSequenceMs, double stepPerThousandTokensMs, double readTokensPerSecond, int stepsPerPass,
-		double loadSeconds, int loadsAtOnce, int requestsAtOnce, Transfer transfer, int usualPromptTokens,
-		int usualAnswerTokens, Map<String, EngineKind> kinds) {
+		double loadSeconds, int loadsAtOnce, int requestsAtOnce, Transfer transfer, int meanPromptTokens,
+		int meanAnswerTokens, Map<String, EngineKind> kinds) {
 
 	private static final double BYTES_PER_MB = 1_000_000;
 
@@ -41,8 +41,8 @@
 	 * The mean size of a request.
 	 * @return prompt and answer, in tokens
 	 */
-	public int usualTokens() {
-		return this.usualPromptTokens + this.usualAnswerTokens;
+	public int meanTokens() {
+		return this.meanPromptTokens + this.meanAnswerTokens;
 	}
 
 	/**
@@ -87,7 +87,7 @@
 	 * @return milliseconds
 	 */
 	public double layerStepMs(EngineKind kind, double writing) {
-		double perSequenceMs = this.stepPerSequenceMs + this.stepPerThousandTokensMs * usualTokens() / 1000;
+		double perSequenceMs = this.stepPerSequenceMs + this.stepPerThousandTokensMs * meanTokens() / 1000;
 		return (this.stepMs + writing * perSequenceMs) * kind.stepFactor() / this.layers;
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
@@ -41,7 +41,7 @@
 	public static PathFinder.Candidate rate(ModelProfile profile, Engine engine, Load load, int tokens) {
 		int held = engine.heldLayers();
 		double room = Math.max(1, profile.kvCapacityTokens(engine.kind(), held));
-		double writing = load.usedPart() * room / Math.max(1, profile.usualTokens());
+		double writing = load.usedPart() * room / Math.max(1, profile.meanTokens());
 		double crowdedMs = Congestion.costMs(load.usedPart() + tokens / room);
 		double penaltyMs = (load.avoided() ? AVOIDED_MS : 0) + SLOW_MS * (load.pace() - 1)
 				+ READING_PART * profile.readMs(engine.kind(), held, load.unreadTokens());
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -607,7 +607,7 @@
 	 * @return prompt and usual answer
 	 */
 	int expectedTokens() {
-		int usual = this.service.chained() ? this.service.model().usualAnswerTokens() : 0;
+		int usual = this.service.chained() ? this.service.model().meanAnswerTokens() : 0;
 		return this.request.promptTokens() + Math.min(this.request.answerTokens(), usual);
 	}
 
