--- a/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
@@ -189,7 +189,7 @@
 	 * @return what is refused and what has changed lately; refused ones first, then the
 	 * latest changes
 	 */
-	public List<CrashHistory> told(long nowMs) {
+	public List<CrashHistory> historiesToSend(long nowMs) {
 		forget(nowMs);
 		if (this.suspects.isEmpty()) {
 			return List.of();
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/CrashingRequestsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/CrashingRequestsTests.java
@@ -233,16 +233,16 @@
 	void whatIsRefusedIsToldAsLongAsItIs() {
 		crashThreeTimes(this.requests, 0);
 
-		assertThat(this.requests.told(START_MS + CrashingRequests.REMEMBERED_MS / 2)).hasSize(1);
-		assertThat(this.requests.told(START_MS + CrashingRequests.REMEMBERED_MS + 1)).isEmpty();
+		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.REMEMBERED_MS / 2)).hasSize(1);
+		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.REMEMBERED_MS + 1)).isEmpty();
 	}
 
 	@Test
 	void aSingleCrashIsToldForAWhileOnly() {
 		crash(CRASHING, "e-1", 0);
 
-		assertThat(this.requests.told(START_MS + 1)).hasSize(1);
-		assertThat(this.requests.told(START_MS + CrashingRequests.SPREAD_MS)).isEmpty();
+		assertThat(this.requests.historiesToSend(START_MS + 1)).hasSize(1);
+		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.SPREAD_MS)).isEmpty();
 	}
 
 	@Test
@@ -269,7 +269,7 @@
 		}
 
 		assertThat(refused(CRASHING, 20)).isTrue();
-		assertThat(this.requests.told(START_MS + 20)).hasSize(CrashingRequests.MOST_TOLD)
+		assertThat(this.requests.historiesToSend(START_MS + 20)).hasSize(CrashingRequests.MOST_TOLD)
 			.first()
 			.extracting(CrashHistory::fingerprint)
 			.isEqualTo(CRASHING);
@@ -304,7 +304,7 @@
 	}
 
 	private static void tell(CrashingRequests from, CrashingRequests to, long atMs) {
-		from.told(START_MS + atMs).forEach((history) -> to.heard(history, START_MS + atMs));
+		from.historiesToSend(START_MS + atMs).forEach((history) -> to.heard(history, START_MS + atMs));
 	}
 
 	private int crash(RequestFingerprint request, String upstream, long atMs) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
@@ -147,7 +147,7 @@
 	List<CrashHistory> told() {
 		long nowMs = this.router.nowMs();
 		if (nowMs - this.toldAtMs >= PeerLink.PERIOD_MS) {
-			this.told = this.requests.told(nowMs);
+			this.told = this.requests.historiesToSend(nowMs);
 			this.toldAtMs = nowMs;
 		}
 		return this.told;
