--- a/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
@@ -218,7 +218,7 @@
 	 * @param history what it knows of one request
 	 * @param nowMs the time
 	 */
-	public void heard(CrashHistory history, long nowMs) {
+	public void receive(CrashHistory history, long nowMs) {
 		long fingerprint = history.fingerprint().value();
 		if (history.ranWellAgeMs() >= 0 && history.ranWellAgeMs() < HARMLESS_MS) {
 			ranWell(fingerprint, nowMs - history.ranWellAgeMs(), nowMs);
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/CrashSpreadTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/CrashSpreadTests.java
@@ -76,7 +76,7 @@
 
 	private static void tell(CrashingRequests from, CrashingRequests to, long nowMs, Random random) {
 		if (random.nextDouble() >= LOST) {
-			from.historiesToSend(nowMs).forEach((history) -> to.heard(history, nowMs));
+			from.historiesToSend(nowMs).forEach((history) -> to.receive(history, nowMs));
 		}
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/CrashingRequestsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/CrashingRequestsTests.java
@@ -71,7 +71,7 @@
 		this.requests.answered("e-2", START_MS + CrashingRequests.SURVIVED_FROM_MS);
 
 		assertThat(refused(CRASHING, SETTLED_MS)).isFalse();
-		this.requests.heard(new CrashHistory(CRASHING, List.of(new CrashHistory.Crash("e-2", 350, false)), -1),
+		this.requests.receive(new CrashHistory(CRASHING, List.of(new CrashHistory.Crash("e-2", 350, false)), -1),
 				START_MS + 350);
 		assertThat(refused(CRASHING, SETTLED_MS)).isFalse();
 	}
@@ -292,7 +292,7 @@
 		List<CrashHistory.Crash> crashes = List.of(new CrashHistory.Crash("e-1", -5, false),
 				new CrashHistory.Crash("e-2", Long.MAX_VALUE, false), new CrashHistory.Crash("e-3", 5, false));
 
-		this.requests.heard(new CrashHistory(CRASHING, crashes, Long.MIN_VALUE), START_MS);
+		this.requests.receive(new CrashHistory(CRASHING, crashes, Long.MIN_VALUE), START_MS);
 
 		assertThat(crash(CRASHING, "e-4", 0)).isEqualTo(2);
 	}
@@ -304,7 +304,7 @@
 	}
 
 	private static void tell(CrashingRequests from, CrashingRequests to, long atMs) {
-		from.historiesToSend(START_MS + atMs).forEach((history) -> to.heard(history, START_MS + atMs));
+		from.historiesToSend(START_MS + atMs).forEach((history) -> to.receive(history, START_MS + atMs));
 	}
 
 	private int crash(RequestFingerprint request, String upstream, long atMs) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
@@ -161,7 +161,7 @@
 		boolean found = false;
 		for (CrashHistory history : histories) {
 			boolean before = isRefused(history.fingerprint());
-			this.requests.heard(history, this.router.nowMs());
+			this.requests.receive(history, this.router.nowMs());
 			found |= !before && isRefused(history.fingerprint());
 		}
 		if (found) {
