--- a/whinjunction-core/src/main/java/io/whinjunction/forward/AttemptOutcome.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/AttemptOutcome.java
@@ -1,45 +1,46 @@
 package io.whinjunction.forward;
 
 /**
- * How an attempt at one upstream ended without an answer that goes to the caller as it
- * is. Immutable.
+ * Outcome of an attempt at one upstream that produced no response to pass on to the
+ * caller unchanged. Immutable.
  */
 public sealed interface AttemptOutcome {
 
 	/**
-	 * Why, in a word for logs.
+	 * Returns the reason, as one word for logs.
 	 * @return the reason
 	 */
 	String reason();
 
 	/**
-	 * Nothing was sent: no upstream has seen the request.
+	 * Nothing was sent: no upstream has received the request.
 	 *
-	 * @param reason why
+	 * @param reason the reason
 	 */
 	record NotSent(String reason) implements AttemptOutcome {
 	}
 
 	/**
-	 * The upstream said that it has not run the request and will not.
+	 * The upstream reported that it has not run the request and will not run it.
 	 *
-	 * @param reason why
+	 * @param reason the reason
 	 */
 	record NotRun(String reason) implements AttemptOutcome {
 	}
 
 	/**
-	 * It was sent and no whole answer came: it may have run, or may yet.
+	 * The request was sent and no complete response was received: it may have run, or may
+	 * still run.
 	 *
-	 * @param reason why
+	 * @param reason the reason
 	 */
 	record Unknown(String reason) implements AttemptOutcome {
 	}
 
 	/**
-	 * The upstream answered that it failed; the request has run.
+	 * The upstream responded with a failure; the request has run.
 	 *
-	 * @param reason why
+	 * @param reason the reason
 	 */
 	record Failed(String reason) implements AttemptOutcome {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/CrashHistory.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/CrashHistory.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What routers tell each other of a request under which upstreams have ended. Ages are
- * those of the moment at which it is told, so that no common clock is needed. Immutable.
+ * Crash history of one request, as exchanged between peer routers. Ages are relative to
+ * the moment of sending, so that no common clock is needed. Immutable.
  *
- * @param fingerprint what the request has in common with its repeats
- * @param crashes the upstreams that ended under it; empty where it ran well since
- * @param ranWellAgeMs how long ago it was last seen to run well, in milliseconds; -1
- * where it wasn't
+ * @param fingerprint the fingerprint that the request shares with its repeats
+ * @param crashes the upstreams that crashed under the request; empty if it has run
+ * successfully since
+ * @param ranWellAgeMs the time since the request was last seen to run successfully, in
+ * milliseconds; -1 if it was not
  */
 public record CrashHistory(RequestFingerprint fingerprint, List<Crash> crashes, long ranWellAgeMs) {
 
@@ -18,11 +19,12 @@
 	}
 
 	/**
-	 * The end of an upstream. Immutable.
+	 * Crash of an upstream. Immutable.
 	 *
-	 * @param upstream its incarnation
-	 * @param ageMs how long ago it ended, in milliseconds
-	 * @param running whether the request had begun to run there and had brought nothing
+	 * @param upstream the incarnation of the upstream
+	 * @param ageMs the time since the crash, in milliseconds
+	 * @param running whether the upstream had begun to run the request and had returned
+	 * no result
 	 */
 	public record Crash(String upstream, long ageMs, boolean running) {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
@@ -10,160 +10,179 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Finds requests that crash the upstreams that run them, and has them refused.
+ * Detects requests that crash the upstreams that run them, so that they are refused.
  * <p>
- * The load it answers: one request ends an upstream, is sent to the next one and ends
- * that too, and its caller sends it again under another id, through any router. The
- * others that run on these upstreams are cut each time, and go on where the same request
- * comes next.
+ * Load pattern: one request crashes an upstream, is sent to the next one and crashes that
+ * one too, and its caller sends it again under another id through any router. Each crash
+ * also cuts the other requests on that upstream, and these fail over to the upstreams
+ * that the crashing request reaches next.
  * <p>
- * What tells it from those others: they ran well before, or run well elsewhere. A request
- * is refused once {@link #MOST_CRASHES} upstreams have ended while it waited or began
- * there, as far as any router saw, and nothing shows that it can run; or
- * {@link #MOST_CRASHES_RUNNING} that had begun to run it and brought no result yet, which
- * happens to others by chance only. Since many callers may send the same request and some
- * disaster may end all upstreams at once, a refused one is tried again after a while,
- * once, by one router of the fleet.
+ * The other requests are told apart from it because they ran successfully before, or do
+ * so elsewhere. A request is refused once {@link #MOST_CRASHES} upstreams have crashed
+ * while it was queued or starting there, as observed by any router, and nothing shows
+ * that it can run; or once {@link #MOST_CRASHES_RUNNING} upstreams have crashed that had
+ * begun to run it and had returned no result, which happens to other requests only by
+ * chance. Since many callers may send the same request and one outage may stop all
+ * upstreams at once, a refused request is retried after a pause, once, by one router of
+ * the fleet.
  * <p>
- * Invariants: the end of an upstream counts once for a request, whoever tells of it, and
- * no longer once the upstream is seen to go on; no crash counts of a request that ran
- * well within {@link #HARMLESS_MS} before it or later; at most {@link #MOST_SUSPECTS}
- * requests are remembered, refused ones the longest. Times come from the caller of each
- * method and never go back. Not safe for threads: confined to the event loop.
+ * Invariants: the crash of an upstream counts once for a request, whichever routers
+ * report it, and no longer once the upstream is seen to be still running; no crash counts
+ * for a request that ran successfully within {@link #HARMLESS_MS} before it or later; at
+ * most {@link #MAX_SUSPECTS} requests are tracked, and refused ones are evicted last.
+ * Times are passed in by the caller and never decrease. Not thread-safe: confined to the
+ * event loop.
  */
 public final class CrashingRequests {
 
-	/** Upstreams that may end under a request before it is refused. */
+	/** Number of upstreams that may crash under a request before it is refused. */
 	public static final int MOST_CRASHES = 3;
 
-	/** Those of them that had begun to run it and brought no result. */
+	/**
+	 * Number of those crashes at which the upstream had begun to run the request and had
+	 * returned no result.
+	 */
 	public static final int MOST_CRASHES_RUNNING = 2;
 
-	/** A request that ran well is beyond suspicion for this long, in milliseconds. */
+	/**
+	 * After a successful run a request is not suspected for this long, in milliseconds.
+	 */
 	static final long HARMLESS_MS = 60_000;
 
 	/**
-	 * What several routers tell of one upstream within this long is one crash, in
-	 * milliseconds: it takes longer to start again, under whatever name.
+	 * Crashes of one upstream that several routers report within this interval are one
+	 * crash, in milliseconds: an upstream takes longer to restart, under whatever name.
 	 */
 	static final long SAME_CRASH_MS = 1000;
 
 	/**
-	 * An upstream that answers between these after it was taken for ended, in
-	 * milliseconds, has not: what it had sent before is read by then, and no upstream
-	 * starts again so soon.
+	 * An upstream that sends data between {@code SURVIVED_FROM_MS} and
+	 * {@link #SURVIVED_UNTIL_MS} after it was assumed to have crashed, in milliseconds,
+	 * has not crashed: data that it sent before has been read by then, and no upstream
+	 * restarts that fast.
 	 */
 	static final long SURVIVED_FROM_MS = 300;
 
 	static final long SURVIVED_UNTIL_MS = 1500;
 
-	/** That an upstream goes on is noted once in this long, in milliseconds. */
-	private static final long SURVIVED_NOTED_MS = 100;
+	/**
+	 * Minimum interval between two records that an upstream is still running, in
+	 * milliseconds.
+	 */
+	private static final long SURVIVED_INTERVAL_MS = 100;
 
 	/**
-	 * A crash at which the request had not begun to run counts after this long, in
-	 * milliseconds: an upstream that is in use and goes on is seen to by then.
+	 * A crash at which the request had not begun to run counts after this delay, in
+	 * milliseconds: an upstream that is in use and still running has sent data by then.
 	 */
 	static final long SETTLED_MS = 600;
 
-	/** A crash is remembered for this long, in milliseconds. */
-	static final long REMEMBERED_MS = 1_800_000;
+	/** How long a crash is remembered, in milliseconds. */
+	static final long RETENTION_MS = 1_800_000;
 
 	/**
-	 * A refused request is tried again after this long, in milliseconds, and after
-	 * {@link #PAUSE_GROWTH} times as long for each further upstream that ends.
+	 * A refused request is retried after this pause, in milliseconds. The pause is
+	 * multiplied by {@link #PAUSE_FACTOR} for each further upstream that crashes.
 	 */
 	static final long FIRST_PAUSE_MS = 60_000;
 
-	static final int PAUSE_GROWTH = 10;
+	static final int PAUSE_FACTOR = 10;
 
-	/** Crashes beyond these change nothing: the pause outlasts the memory. */
-	private static final int MOST_COUNTED = MOST_CRASHES + 2;
+	/**
+	 * Further crashes change nothing: the pause then exceeds the retention period.
+	 */
+	private static final int MAX_COUNTED = MOST_CRASHES + 2;
 
-	static final int MOST_SUSPECTS = 2048;
+	static final int MAX_SUSPECTS = 2048;
 
-	private static final int MOST_HARMLESS = 4096;
+	private static final int MAX_HARMLESS = 4096;
 
-	private static final int MOST_UPSTREAMS = 1024;
+	private static final int MAX_UPSTREAMS = 1024;
 
-	/** Bounds a message. */
-	static final int MOST_TOLD = 48;
+	/** Bounds the size of a message to a peer. */
+	static final int MAX_HISTORIES_SENT = 48;
 
 	private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-	/** News is told for this long, in milliseconds, until all routers have it. */
-	static final long SPREAD_MS = 3000;
+	/**
+	 * How long a change is sent to peers, in milliseconds, until all routers have
+	 * received it.
+	 */
+	static final long PROPAGATION_MS = 3000;
 
-	/** The least recently changed in front. */
+	/** Least recently changed first. */
 	private final Map<Long, Suspect> suspects = new LinkedHashMap<>();
 
-	/** When requests ran well, by their fingerprints; the longest ago in front. */
-	private final Map<Long, Long> ranWellAtMs = bounded(MOST_HARMLESS);
+	/** Times of successful runs by request fingerprint; the oldest first. */
+	private final Map<Long, Long> ranWellAtMs = bounded(MAX_HARMLESS);
 
-	/** When upstreams were last taken for ended, by their incarnations. */
-	private final Map<String, Long> endedAtMs = bounded(MOST_UPSTREAMS);
+	/** Times at which upstreams were last assumed to have crashed, by incarnation. */
+	private final Map<String, Long> crashedAtMs = bounded(MAX_UPSTREAMS);
 
-	/** When upstreams that had been taken for ended were seen to go on. */
-	private final Map<String, Long> survivedAtMs = bounded(MOST_UPSTREAMS);
+	/**
+	 * Times at which upstreams assumed to have crashed were seen to be still running.
+	 */
+	private final Map<String, Long> survivedAtMs = bounded(MAX_UPSTREAMS);
 
-	private static <K> Map<K, Long> bounded(int most) {
+	private static <K> Map<K, Long> bounded(int maxSize) {
 		return new LinkedHashMap<>() {
 
 			@Override
 			protected boolean removeEldestEntry(Map.Entry<K, Long> eldest) {
-				return size() > most;
+				return size() > maxSize;
 			}
 
 		};
 	}
 
 	/**
-	 * Whether a request has to be refused.
+	 * Checks whether a request has to be refused.
 	 * @param fingerprint the request
-	 * @param nowMs the time
-	 * @param triesAgain whether this router is the one that tries the request again
-	 * @return why, or empty where it may be sent
+	 * @param nowMs the current time
+	 * @param mayRetry whether this router is the one that retries the request
+	 * @return the reason for the refusal, or empty if the request may be sent
 	 */
-	public Optional<Refusal> refusal(RequestFingerprint fingerprint, long nowMs, BooleanSupplier triesAgain) {
+	public Optional<Refusal> refusal(RequestFingerprint fingerprint, long nowMs, BooleanSupplier mayRetry) {
 		Suspect suspect = this.suspects.get(fingerprint.value());
 		if (suspect == null || !suspect.refused(nowMs)) {
 			return Optional.empty();
 		}
 		long leftMs = suspect.pausedUntilMs(nowMs) - nowMs;
-		if (leftMs <= 0 && triesAgain.getAsBoolean()) {
+		if (leftMs <= 0 && mayRetry.getAsBoolean()) {
 			suspect.triedAtMs = nowMs;
 			return Optional.empty();
 		}
-		return Optional.of(new Refusal(suspect.counted(nowMs), Math.max(leftMs, SPREAD_MS)));
+		return Optional.of(new Refusal(suspect.countedCrashes(nowMs), Math.max(leftMs, PROPAGATION_MS)));
 	}
 
 	/**
-	 * An upstream ended while a request began there.
+	 * Records that an upstream crashed while a request was starting there.
 	 * @param fingerprint the request
-	 * @param upstream the upstream's incarnation
-	 * @param running whether it had begun to run the request and brought no result
-	 * @param nowMs the time
-	 * @return how many upstreams ended under the request; 0 where it is beyond suspicion
+	 * @param upstream the incarnation of the upstream
+	 * @param running whether it had begun to run the request and had returned no result
+	 * @param nowMs the current time
+	 * @return the number of upstreams that crashed under the request; 0 if it is not
+	 * suspected
 	 */
 	public int crashed(RequestFingerprint fingerprint, String upstream, boolean running, long nowMs) {
 		return count(fingerprint.value(), new Crash(upstream, nowMs, running), nowMs);
 	}
 
 	/**
-	 * An upstream sent something. The failure it guards against: one that resets some of
-	 * its connections would look as if it ended each time.
-	 * @param upstream the upstream's incarnation
-	 * @param nowMs the time
+	 * Records that an upstream sent data. Guards against counting a crash each time an
+	 * upstream resets some of its connections.
+	 * @param upstream the incarnation of the upstream
+	 * @param nowMs the current time
 	 */
 	public void answered(String upstream, long nowMs) {
-		Long endedAt = this.endedAtMs.get(upstream);
-		if (endedAt == null) {
+		Long crashedAt = this.crashedAtMs.get(upstream);
+		if (crashedAt == null) {
 			return;
 		}
-		if (nowMs - endedAt >= SURVIVED_UNTIL_MS) {
-			this.endedAtMs.remove(upstream);
+		if (nowMs - crashedAt >= SURVIVED_UNTIL_MS) {
+			this.crashedAtMs.remove(upstream);
 		}
-		else if (nowMs - this.survivedAtMs.getOrDefault(upstream, NEVER_MS) >= SURVIVED_NOTED_MS) {
+		else if (nowMs - this.survivedAtMs.getOrDefault(upstream, NEVER_MS) >= SURVIVED_INTERVAL_MS) {
 			this.survivedAtMs.put(upstream, nowMs);
 			this.suspects.values().forEach((suspect) -> suspect.crashes.removeIf(this::survived));
 		}
@@ -175,31 +194,31 @@
 	}
 
 	/**
-	 * A request was answered, or ran for a while without harm.
+	 * Records that a request was answered, or ran for some time without harm.
 	 * @param fingerprint the request
-	 * @param nowMs the time
+	 * @param nowMs the current time
 	 */
 	public void ranWell(RequestFingerprint fingerprint, long nowMs) {
 		ranWell(fingerprint.value(), nowMs, nowMs);
 	}
 
 	/**
-	 * What other routers are told.
-	 * @param nowMs the time
-	 * @return what is refused and what has changed lately; refused ones first, then the
-	 * latest changes
+	 * Returns the crash histories to send to peer routers.
+	 * @param nowMs the current time
+	 * @return refused requests and recent changes; refused ones first, then the latest
+	 * changes
 	 */
 	public List<CrashHistory> historiesToSend(long nowMs) {
-		forget(nowMs);
+		removeExpired(nowMs);
 		if (this.suspects.isEmpty()) {
 			return List.of();
 		}
 		return this.suspects.entrySet()
 			.stream()
-			.filter((entry) -> entry.getValue().refused(nowMs) || nowMs - entry.getValue().changedAtMs < SPREAD_MS)
+			.filter((entry) -> entry.getValue().refused(nowMs) || nowMs - entry.getValue().changedAtMs < PROPAGATION_MS)
 			.sorted(Comparator.comparing((Map.Entry<Long, Suspect> entry) -> !entry.getValue().refused(nowMs))
 				.thenComparing((entry) -> -entry.getValue().changedAtMs))
-			.limit(MOST_TOLD)
+			.limit(MAX_HISTORIES_SENT)
 			.map((entry) -> history(entry.getKey(), entry.getValue(), nowMs))
 			.toList();
 	}
@@ -214,9 +233,9 @@
 	}
 
 	/**
-	 * Takes what another router tells.
-	 * @param history what it knows of one request
-	 * @param nowMs the time
+	 * Merges a crash history received from a peer router.
+	 * @param history the history of one request
+	 * @param nowMs the current time
 	 */
 	public void receive(CrashHistory history, long nowMs) {
 		long fingerprint = history.fingerprint().value();
@@ -224,20 +243,21 @@
 			ranWell(fingerprint, nowMs - history.ranWellAgeMs(), nowMs);
 		}
 		for (CrashHistory.Crash crash : history.crashes()) {
-			if (crash.ageMs() >= 0 && crash.ageMs() < REMEMBERED_MS) {
+			if (crash.ageMs() >= 0 && crash.ageMs() < RETENTION_MS) {
 				count(fingerprint, new Crash(crash.upstream(), nowMs - crash.ageMs(), crash.running()), nowMs);
 			}
 		}
 		if (history.ranWellAgeMs() < 0 && !history.crashes().isEmpty() && this.ranWellAtMs.containsKey(fingerprint)) {
-			// Whoever suspects it has not heard that it ran well.
+			// The sender suspects the request and has not received that it ran
+			// successfully.
 			changed(fingerprint, this.suspects.getOrDefault(fingerprint, new Suspect()), nowMs);
 		}
 	}
 
 	/**
-	 * A request that routers before this one have found to crash upstreams.
+	 * Restores a request that earlier routers found to crash upstreams.
 	 * @param fingerprint the request
-	 * @param nowMs the time
+	 * @param nowMs the current time
 	 */
 	public void restored(RequestFingerprint fingerprint, long nowMs) {
 		Suspect suspect = this.suspects.computeIfAbsent(fingerprint.value(), (value) -> new Suspect());
@@ -248,10 +268,10 @@
 	}
 
 	/**
-	 * Whether a request is refused, unless it is tried again.
+	 * Returns whether a request is refused, unless it is being retried.
 	 * @param fingerprint the request
-	 * @param nowMs the time
-	 * @return whether it is
+	 * @param nowMs the current time
+	 * @return whether it is refused
 	 */
 	public boolean isRefused(RequestFingerprint fingerprint, long nowMs) {
 		Suspect suspect = this.suspects.get(fingerprint.value());
@@ -259,8 +279,8 @@
 	}
 
 	/**
-	 * How many requests are refused.
-	 * @param nowMs the time
+	 * Returns the number of refused requests.
+	 * @param nowMs the current time
 	 * @return the number
 	 */
 	public int refused(long nowMs) {
@@ -268,8 +288,8 @@
 	}
 
 	/**
-	 * Which requests are refused.
-	 * @param nowMs the time
+	 * Returns the refused requests.
+	 * @param nowMs the current time
 	 * @return their fingerprints
 	 */
 	public List<RequestFingerprint> refusedOnes(long nowMs) {
@@ -285,7 +305,7 @@
 		if (survived(crash) || (wellAtMs != null && wellAtMs >= crash.atMs() - HARMLESS_MS)) {
 			return 0;
 		}
-		this.endedAtMs.merge(crash.upstream(), crash.atMs(), Math::max);
+		this.crashedAtMs.merge(crash.upstream(), crash.atMs(), Math::max);
 		Suspect suspect = this.suspects.getOrDefault(fingerprint, new Suspect());
 		if (suspect.add(crash)) {
 			changed(fingerprint, suspect, nowMs);
@@ -310,12 +330,12 @@
 		suspect.changedAtMs = nowMs;
 		this.suspects.remove(fingerprint);
 		this.suspects.put(fingerprint, suspect);
-		if (this.suspects.size() > MOST_SUSPECTS) {
-			dropOne(nowMs);
+		if (this.suspects.size() > MAX_SUSPECTS) {
+			evictOne(nowMs);
 		}
 	}
 
-	private void dropOne(long nowMs) {
+	private void evictOne(long nowMs) {
 		Iterator<Suspect> oldestFirst = this.suspects.values().iterator();
 		while (oldestFirst.hasNext()) {
 			if (!oldestFirst.next().refused(nowMs)) {
@@ -326,18 +346,20 @@
 		this.suspects.remove(this.suspects.keySet().iterator().next());
 	}
 
-	private void forget(long nowMs) {
+	private void removeExpired(long nowMs) {
 		this.suspects.values().removeIf((suspect) -> {
-			suspect.clear(nowMs - REMEMBERED_MS);
-			return !suspect.refused(nowMs) && suspect.crashes.isEmpty() && nowMs - suspect.changedAtMs >= SPREAD_MS;
+			suspect.clear(nowMs - RETENTION_MS);
+			return !suspect.refused(nowMs) && suspect.crashes.isEmpty()
+					&& nowMs - suspect.changedAtMs >= PROPAGATION_MS;
 		});
 	}
 
 	/**
-	 * Why a request isn't sent. Immutable.
+	 * Reason why a request is not sent. Immutable.
 	 *
-	 * @param crashes the upstreams that ended under it
-	 * @param retryAfterMs when it may be tried again at the earliest, in milliseconds
+	 * @param crashes the number of upstreams that crashed under it
+	 * @param retryAfterMs the time until it may be retried at the earliest, in
+	 * milliseconds
 	 */
 	public record Refusal(int crashes, long retryAfterMs) {
 	}
@@ -354,39 +376,44 @@
 
 	}
 
-	/** A request that was seen where an upstream ended; confined to the table. */
+	/**
+	 * A request that was present at the crash of an upstream; confined to the enclosing
+	 * object.
+	 */
 	private static final class Suspect {
 
 		private final List<Crash> crashes = new ArrayList<>();
 
-		/** When it was read that routers before this one refused it. */
+		/** Time at which a refusal by earlier routers was read. */
 		private long restoredAtMs = NEVER_MS;
 
 		private long changedAtMs;
 
 		private long triedAtMs = NEVER_MS;
 
-		// Of copies of the request at one upstream, one that had begun to run says most.
+		// Of several copies of the request at one upstream, a copy that had begun to
+		// run carries the most evidence.
 		boolean add(Crash crash) {
 			for (int index = 0; index < this.crashes.size(); index++) {
 				Crash known = this.crashes.get(index);
 				if (known.same(crash)) {
-					boolean says = crash.running() && !known.running();
-					this.crashes.set(index, says ? crash : known);
-					return says;
+					boolean more = crash.running() && !known.running();
+					this.crashes.set(index, more ? crash : known);
+					return more;
 				}
 			}
-			return this.crashes.size() < MOST_COUNTED && this.crashes.add(crash);
+			return this.crashes.size() < MAX_COUNTED && this.crashes.add(crash);
 		}
 
-		// What was restored counts as found just now, with as many crashes as it takes.
-		int counted(long nowMs) {
+		// A restored refusal counts as found when it was read, with the minimum
+		// number of crashes.
+		int countedCrashes(long nowMs) {
 			int counted = (int) this.crashes.stream().filter((crash) -> crash.counts(nowMs)).count();
 			return (this.restoredAtMs != NEVER_MS) ? Math.max(MOST_CRASHES, counted) : counted;
 		}
 
 		boolean refused(long nowMs) {
-			return counted(nowMs) >= MOST_CRASHES
+			return countedCrashes(nowMs) >= MOST_CRASHES
 					|| this.crashes.stream().filter(Crash::running).count() >= MOST_CRASHES_RUNNING;
 		}
 
@@ -398,8 +425,8 @@
 
 		long pausedUntilMs(long nowMs) {
 			long pauseMs = FIRST_PAUSE_MS;
-			for (int more = MOST_CRASHES; more < counted(nowMs); more++) {
-				pauseMs *= PAUSE_GROWTH;
+			for (int more = MOST_CRASHES; more < countedCrashes(nowMs); more++) {
+				pauseMs *= PAUSE_FACTOR;
 			}
 			long lastMs = this.crashes.stream().mapToLong(Crash::atMs).max().orElse(this.restoredAtMs);
 			return Math.max(lastMs, this.triedAtMs) + pauseMs;
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/FleetRetryBudget.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/FleetRetryBudget.java
@@ -3,27 +3,30 @@
 import java.util.Arrays;
 
 /**
- * This process's part of the repeats that all routers together may send to one service.
+ * This process's share of the retries that all routers together may send to one service.
  * <p>
- * The failure it is there for: when everything fails at once, repeats of all routers add
- * up and keep the overload going after its cause is gone. Each router spends by its own
- * requests, so the ratio holds for the sum whatever comes and goes; the slack is divided
- * by {@link #SLACK_PARTS} times the routers, so that cut off, new and replaced ones,
- * which know nothing of what was spent before them, can't push the sum over.
+ * Guards against retry storms: when everything fails at once, the retries of all routers
+ * add up and keep the overload going after its cause is gone. Each router spends in
+ * proportion to its own requests, so the ratio holds for the sum whichever routers come
+ * and go. The slack is divided by {@link #SLACK_DIVISOR} times the number of routers, so
+ * that partitioned, new and replaced routers, which have no record of what was spent
+ * before, cannot push the sum over the bound.
  * <p>
- * Invariant: in each window of whole buckets, repeats are at most {@link #RATIO_PART} of
- * the ratio times this process's requests plus its part of the slack. Not safe for
- * threads: confined to the event loop.
+ * Invariant: in each window of whole buckets, retries are at most {@link #RATIO_MARGIN}
+ * of the ratio times this process's requests plus its share of the slack. Not
+ * thread-safe: confined to the event loop.
  */
 public final class FleetRetryBudget {
 
 	private static final int BUCKETS = 20;
 
-	/** Keeps the sum under its bound where a request's arrival is counted elsewhere. */
-	private static final double RATIO_PART = 0.9;
+	/** Keeps the sum under the bound if another router counts a request's arrival. */
+	private static final double RATIO_MARGIN = 0.9;
 
-	/** Room for half as many routers again as are known: new and replaced ones. */
-	private static final double SLACK_PARTS = 1.5;
+	/**
+	 * Leaves room for half as many routers again as are known: new and replaced ones.
+	 */
+	private static final double SLACK_DIVISOR = 1.5;
 
 	private final double ratio;
 
@@ -33,14 +36,14 @@
 
 	private final int[] requests = new int[BUCKETS + 1];
 
-	private final int[] repeats = new int[BUCKETS + 1];
+	private final int[] retries = new int[BUCKETS + 1];
 
 	private long bucket = Long.MIN_VALUE;
 
 	/**
-	 * A part of the budget.
-	 * @param ratio repeats for each request, over all routers
-	 * @param slack repeats that are allowed besides in a window, over all routers
+	 * Creates a share of the budget.
+	 * @param ratio the retries per request, over all routers
+	 * @param slack the retries allowed in addition in a window, over all routers
 	 * @param windowMs the window, in milliseconds
 	 */
 	public FleetRetryBudget(double ratio, double slack, long windowMs) {
@@ -50,27 +53,27 @@
 	}
 
 	/**
-	 * A request came.
-	 * @param nowMs the time
+	 * Records the arrival of a request.
+	 * @param nowMs the current time
 	 */
 	public void requested(long nowMs) {
 		this.requests[advance(nowMs)]++;
 	}
 
 	/**
-	 * Asks for one repeat.
-	 * @param nowMs the time
-	 * @param routers how many routers there are
-	 * @return whether it is granted
+	 * Acquires one retry if the budget allows it.
+	 * @param nowMs the current time
+	 * @param routers the number of routers
+	 * @return whether the retry is granted
 	 */
 	public boolean tryRepeat(long nowMs, int routers) {
 		int index = advance(nowMs);
-		double allowed = RATIO_PART * this.ratio * Arrays.stream(this.requests).sum()
-				+ Math.floor(this.slack / (SLACK_PARTS * Math.max(1, routers)));
-		if (Arrays.stream(this.repeats).sum() + 1 > allowed) {
+		double allowed = RATIO_MARGIN * this.ratio * Arrays.stream(this.requests).sum()
+				+ Math.floor(this.slack / (SLACK_DIVISOR * Math.max(1, routers)));
+		if (Arrays.stream(this.retries).sum() + 1 > allowed) {
 			return false;
 		}
-		this.repeats[index]++;
+		this.retries[index]++;
 		return true;
 	}
 
@@ -79,7 +82,7 @@
 		long from = Math.max(this.bucket + 1, now - BUCKETS);
 		for (long passed = from; passed <= now; passed++) {
 			this.requests[(int) Math.floorMod(passed, (long) BUCKETS + 1)] = 0;
-			this.repeats[(int) Math.floorMod(passed, (long) BUCKETS + 1)] = 0;
+			this.retries[(int) Math.floorMod(passed, (long) BUCKETS + 1)] = 0;
 		}
 		this.bucket = Math.max(this.bucket, now);
 		return (int) Math.floorMod(this.bucket, (long) BUCKETS + 1);
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RequestFingerprint.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RequestFingerprint.java
@@ -8,37 +8,37 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a request has in common with those that repeat it under other ids: its caller,
+ * Identifies requests that are repeats of each other under different ids: same caller,
  * method, host, path, query and body. Immutable.
  * <p>
- * Two checksums of 32 bits make it up, which is enough to tell the requests of one caller
- * apart and cheap enough for each request; it is no protection from a caller that looks
- * for a collision, who could only hit its own requests.
+ * Consists of two checksums of 32 bits, which suffices to distinguish the requests of one
+ * caller and is cheap enough to compute for each request. It is no protection from a
+ * caller that constructs a collision, which could only affect its own requests.
  *
  * @param value the fingerprint
  */
 public record RequestFingerprint(long value) {
 
 	/**
-	 * Of a longer body this much counts, in bytes: the rest isn't there yet when the
-	 * request is sent on.
+	 * Only this many bytes of a longer body count: the rest has not arrived when the
+	 * request is forwarded.
 	 */
-	private static final int MOST_BODY_BYTES = 32_768;
+	private static final int MAX_BODY_BYTES = 32_768;
 
 	private static final int CHECKSUM_BITS = 32;
 
 	/**
-	 * Takes a request's fingerprint.
-	 * @param caller who sends it, whatever key it uses; empty where callers have no names
+	 * Computes the fingerprint of a request.
+	 * @param caller the caller, whichever key it uses; empty if callers have no names
 	 * @param method the HTTP method
-	 * @param host the host that it is for
-	 * @param uri path and query
-	 * @param body the body, or as much of it as is there; its position stays
+	 * @param host the requested host
+	 * @param uri the path and query
+	 * @param body the body, or as much of it as has arrived; its position is unchanged
 	 * @return the fingerprint
 	 */
 	public static RequestFingerprint of(String caller, String method, String host, String uri, ByteBuffer body) {
 		byte[] head = String.join("\n", caller, method, host, uri, "").getBytes(StandardCharsets.UTF_8);
-		ByteBuffer counted = body.slice(body.position(), Math.min(body.remaining(), MOST_BODY_BYTES));
+		ByteBuffer counted = body.slice(body.position(), Math.min(body.remaining(), MAX_BODY_BYTES));
 		CRC32C high = new CRC32C();
 		high.update(head);
 		high.update(counted.duplicate());
@@ -49,9 +49,9 @@
 	}
 
 	/**
-	 * Reads what {@link #toString()} wrote.
+	 * Parses the format written by {@link #toString()}.
 	 * @param text 16 hexadecimal digits
-	 * @return the fingerprint, or empty where the text is none
+	 * @return the fingerprint, or empty if the text is not a fingerprint
 	 */
 	public static Optional<RequestFingerprint> parse(String text) {
 		if (text.length() != Long.BYTES * 2 || !text.chars().allMatch(HexFormat::isHexDigit)) {
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryDecision.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryDecision.java
@@ -1,19 +1,19 @@
 package io.whinjunction.forward;
 
 /**
- * What follows after an attempt has ended. Immutable.
+ * Decision after an attempt without a response for the caller. Immutable.
  */
 public sealed interface RetryDecision {
 
-	/** The request goes to another upstream. */
+	/** The request is sent to another upstream. */
 	record Retry() implements RetryDecision {
 	}
 
-	/** The request has not run and never will; the caller is told when to come back. */
+	/** The request has not run and never will; the response states when to retry. */
 	record Refuse() implements RetryDecision {
 	}
 
-	/** The request may have run; the caller is told that nothing is promised. */
+	/** The request may have run; the response makes no claim about whether it did. */
 	record Fail() implements RetryDecision {
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions about one request that is handed to upstreams: whether it is tried again, and
- * what its final answer may claim.
+ * Decisions about a single request that is forwarded to upstreams: whether it is retried,
+ * and what the final response may claim about its execution.
  */
 package io.whinjunction.forward;
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/CrashSpreadTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/CrashSpreadTests.java
@@ -10,7 +10,7 @@
 
 /**
  * How fast routers learn of a request that crashes upstreams, in simulated time: each
- * tells a few others each period, and messages get lost.
+ * router exchanges messages with 3 random peers per period, and messages get lost.
  */
 class CrashSpreadTests {
 
@@ -18,26 +18,26 @@
 
 	private static final int ROUTERS = 95;
 
-	private static final int TOLD_EACH_PERIOD = 3;
+	private static final int PEERS_PER_PERIOD = 3;
 
 	private static final long PERIOD_MS = 250;
 
-	private static final double LOST = 0.3;
+	private static final double LOSS_RATIO = 0.3;
 
 	/**
-	 * Routers have to refuse the request this long after the third crash, in
+	 * All routers have to refuse the request this long after the third crash, in
 	 * milliseconds.
 	 */
-	private static final long CONTACT_MS = 3000;
+	private static final long DEADLINE_MS = 3000;
 
-	/** Other requests that each crash cuts as they begin. */
-	private static final int CUT_BESIDE = 20;
+	/** Number of other requests that each crash cuts as they start. */
+	private static final int OTHERS_CUT = 20;
 
 	private static final RequestFingerprint CRASHING = new RequestFingerprint(1);
 
-	// Each crash is seen by another router, beside others' requests that it cuts: no
-	// router
-	// knows of three by itself, and any of them may get the request next.
+	// Guards against a request that no router refuses: each crash is observed by a
+	// different router, along with other requests that it cuts, so no router observes
+	// three crashes itself, and any router may get the request next.
 	@Test
 	void allRoutersOfALargeFleetRefuseARequestInTime() {
 		for (int seed = 0; seed < SEEDS; seed++) {
@@ -47,35 +47,35 @@
 				routers.add(new CrashingRequests());
 			}
 			for (int crash = 0; crash < CrashingRequests.MOST_CRASHES; crash++) {
-				CrashingRequests sees = routers.get(random.nextInt(ROUTERS));
-				sees.crashed(CRASHING, "e-" + crash, false, 0);
-				for (int cut = 0; cut < CUT_BESIDE; cut++) {
-					sees.crashed(new RequestFingerprint(random.nextLong()), "e-" + crash, false, 0);
+				CrashingRequests observer = routers.get(random.nextInt(ROUTERS));
+				observer.crashed(CRASHING, "e-" + crash, false, 0);
+				for (int cut = 0; cut < OTHERS_CUT; cut++) {
+					observer.crashed(new RequestFingerprint(random.nextLong()), "e-" + crash, false, 0);
 				}
 			}
 
-			for (long nowMs = 0; nowMs < CONTACT_MS; nowMs += PERIOD_MS) {
-				talk(routers, nowMs, random);
+			for (long nowMs = 0; nowMs < DEADLINE_MS; nowMs += PERIOD_MS) {
+				exchange(routers, nowMs, random);
 			}
 
 			assertThat(routers).as("seed %d", seed)
-				.allMatch((router) -> router.refusal(CRASHING, CONTACT_MS, () -> false).isPresent());
-			assertThat(routers).as("seed %d", seed).allMatch((router) -> router.refused(CONTACT_MS) == 1);
+				.allMatch((router) -> router.refusal(CRASHING, DEADLINE_MS, () -> false).isPresent());
+			assertThat(routers).as("seed %d", seed).allMatch((router) -> router.refused(DEADLINE_MS) == 1);
 		}
 	}
 
-	private static void talk(List<CrashingRequests> routers, long nowMs, Random random) {
+	private static void exchange(List<CrashingRequests> routers, long nowMs, Random random) {
 		for (CrashingRequests router : routers) {
-			for (int told = 0; told < TOLD_EACH_PERIOD; told++) {
-				CrashingRequests other = routers.get(random.nextInt(ROUTERS));
-				tell(router, other, nowMs, random);
-				tell(other, router, nowMs, random);
+			for (int sent = 0; sent < PEERS_PER_PERIOD; sent++) {
+				CrashingRequests peer = routers.get(random.nextInt(ROUTERS));
+				send(router, peer, nowMs, random);
+				send(peer, router, nowMs, random);
 			}
 		}
 	}
 
-	private static void tell(CrashingRequests from, CrashingRequests to, long nowMs, Random random) {
-		if (random.nextDouble() >= LOST) {
+	private static void send(CrashingRequests from, CrashingRequests to, long nowMs, Random random) {
+		if (random.nextDouble() >= LOSS_RATIO) {
 			from.historiesToSend(nowMs).forEach((history) -> to.receive(history, nowMs));
 		}
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/CrashingRequestsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/CrashingRequestsTests.java
@@ -8,7 +8,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which requests are refused since upstreams end under them.
+ * Which requests are refused because upstreams crash under them.
  */
 class CrashingRequestsTests {
 
@@ -23,7 +23,7 @@
 	private final CrashingRequests requests = new CrashingRequests();
 
 	@Test
-	void aRequestUnderWhichThreeUpstreamsEndedIsRefused() {
+	void aRequestUnderWhichThreeUpstreamsCrashedIsRefused() {
 		assertThat(crash(CRASHING, "e-1", 0)).isEqualTo(1);
 		assertThat(crash(CRASHING, "e-2", 100)).isEqualTo(2);
 		assertThat(refused(CRASHING, 150)).isFalse();
@@ -34,9 +34,8 @@
 		assertThat(refused(OTHER, 200 + SETTLED_MS)).isFalse();
 	}
 
-	// A draft that waits is cut beside another one's crash as often as not; one that is
-	// cut
-	// between its beginning and its first event twice is hardly a victim.
+	// A queued draft is often cut by the crash of another request. A draft that is
+	// cut twice between its start and its first event is unlikely to be a victim.
 	@Test
 	void aRequestThatTwoUpstreamsHadJustBegunIsRefused() {
 		this.requests.crashed(CRASHING, "e-1", true, START_MS);
@@ -49,21 +48,21 @@
 	}
 
 	@Test
-	void thatAnUpstreamHadBegunItIsTold() {
+	void theRunningStateIsSentToPeers() {
 		CrashingRequests second = new CrashingRequests();
 		second.crashed(CRASHING, "e-1", true, START_MS);
 		this.requests.crashed(CRASHING, "e-2", true, START_MS);
 
-		tell(second, this.requests, 10);
+		send(second, this.requests, 10);
 
 		assertThat(refused(CRASHING, 10)).isTrue();
 	}
 
-	// Upstreams that are in trouble reset some connections and go on: a poll that many
-	// callers
-	// send alike would soon have been cut at all of them.
+	// Guards against refusing harmless requests: upstreams in trouble reset some
+	// connections and keep running, and a poll that many callers send alike would
+	// soon have been cut at all of them.
 	@Test
-	void anUpstreamThatGoesOnHasNotEnded() {
+	void anUpstreamThatIsStillRunningHasNotCrashed() {
 		crash(CRASHING, "e-1", 0);
 		crash(CRASHING, "e-2", 0);
 		crash(CRASHING, "e-3", 0);
@@ -76,11 +75,11 @@
 		assertThat(refused(CRASHING, SETTLED_MS)).isFalse();
 	}
 
-	// It resets a connection each 50 ms and answers on others: each reset would put off
-	// the
-	// moment from which its answers count.
+	// The upstream resets a connection every 50 ms and answers on others. If each
+	// reset counted anew, it would postpone the time from which answers show that the
+	// upstream survived.
 	@Test
-	void anUpstreamThatResetsConnectionsAllTheTimeHasNotEnded() {
+	void anUpstreamThatKeepsResettingConnectionsHasNotCrashed() {
 		crash(CRASHING, "e-1", 0);
 		crash(CRASHING, "e-2", 0);
 		crash(CRASHING, "e-3", 0);
@@ -92,21 +91,21 @@
 		assertThat(refused(CRASHING, SETTLED_MS)).isFalse();
 	}
 
-	// A draft is cut at three upstreams in a moment, before any of them can be seen to go
-	// on.
+	// A draft is cut at three upstreams at the same time, before any of them can be
+	// seen to be still running.
 	@Test
-	void aCrashThatHadNotBegunTheRequestCountsOnceItIsSettled() {
+	void aCrashThatHadNotBegunTheRequestCountsAfterTheSettlingTime() {
 		crashThreeTimes(this.requests, 0);
 
 		assertThat(refused(CRASHING, SETTLED_MS - 1)).isFalse();
 		assertThat(refused(CRASHING, SETTLED_MS)).isTrue();
 	}
 
-	// What an upstream sent before it ended is read a moment later; one that was started
-	// again
-	// answers after some seconds, whatever the list still calls it.
+	// Data that an upstream sent before its crash is read a few milliseconds later; a
+	// restarted upstream answers after some seconds, under whatever name the list has
+	// for it.
 	@Test
-	void whatAnEndedUpstreamSentBeforeOrAfterItsNextStartSaysNothing() {
+	void dataSentBeforeTheCrashOrAfterTheRestartIsNoSignOfSurvival() {
 		crash(CRASHING, "e-1", 0);
 		crash(CRASHING, "e-2", 0);
 		crash(CRASHING, "e-3", 0);
@@ -117,9 +116,10 @@
 		assertThat(refused(CRASHING, CrashingRequests.SURVIVED_UNTIL_MS)).isTrue();
 	}
 
-	// Copies of the request run on one upstream at once: its end is one crash.
+	// Several copies of the request run on one upstream at once: its crash counts
+	// once.
 	@Test
-	void oneEndOfAnUpstreamCountsOnce() {
+	void oneCrashOfAnUpstreamCountsOnce() {
 		crash(CRASHING, "e-1", 0);
 		crash(CRASHING, "e-1", 5);
 		crash(CRASHING, "e-1", 20);
@@ -127,21 +127,20 @@
 		assertThat(crash(CRASHING, "e-2", 30)).isEqualTo(2);
 	}
 
-	// The list still names the start before: the upstream ended again under the same
-	// name.
+	// The list still has the previous incarnation: the upstream crashed again under
+	// the same name.
 	@Test
-	void anUpstreamThatEndsAgainCountsAgain() {
+	void anUpstreamThatCrashesAgainCountsAgain() {
 		crash(CRASHING, "e-1", 0);
 		crash(CRASHING, "e-1", CrashingRequests.SAME_CRASH_MS);
 
 		assertThat(crash(CRASHING, "e-1", 2 * CrashingRequests.SAME_CRASH_MS)).isEqualTo(3);
 	}
 
-	// A draft that ran for seconds is cut by another one's crash, and goes on where that
-	// one
-	// comes next.
+	// A draft that ran for seconds is cut by the crash of another request, and fails
+	// over to the upstream that the crashing request reaches next.
 	@Test
-	void whatRanWellIsBeyondSuspicion() {
+	void aRequestThatRanWellIsNotSuspected() {
 		this.requests.ranWell(OTHER, START_MS);
 		crash(OTHER, "e-1", 10);
 		crash(OTHER, "e-2", 20);
@@ -151,7 +150,7 @@
 	}
 
 	@Test
-	void whatRanWellLongAgoMayCrashUpstreamsNow() {
+	void aRequestThatRanWellLongAgoIsSuspectedAgain() {
 		this.requests.ranWell(CRASHING, START_MS);
 		long later = CrashingRequests.HARMLESS_MS + 1;
 		crash(CRASHING, "e-1", later);
@@ -170,10 +169,10 @@
 		assertThat(refused(CRASHING, 1001)).isFalse();
 	}
 
-	// All upstreams end at once under the same poll of many callers: it must not be
-	// refused for good.
+	// All upstreams crash at once under the same poll of many callers: the poll must
+	// not be refused permanently.
 	@Test
-	void aRefusedRequestIsTriedAgainOnceAfterAWhile() {
+	void aRefusedRequestIsRetriedOnceAfterThePause() {
 		crashThreeTimes(this.requests, 0);
 		long pauseMs = CrashingRequests.FIRST_PAUSE_MS;
 
@@ -184,16 +183,16 @@
 	}
 
 	@Test
-	void eachFurtherCrashMakesThePauseLonger() {
+	void eachFurtherCrashLengthensThePause() {
 		crashThreeTimes(this.requests, 0);
 		crash(CRASHING, "e-4", CrashingRequests.FIRST_PAUSE_MS);
 
 		assertThat(refusal(2 * CrashingRequests.FIRST_PAUSE_MS, true)).isPresent();
-		assertThat(refusal((1 + CrashingRequests.PAUSE_GROWTH) * CrashingRequests.FIRST_PAUSE_MS, true)).isEmpty();
+		assertThat(refusal((1 + CrashingRequests.PAUSE_FACTOR) * CrashingRequests.FIRST_PAUSE_MS, true)).isEmpty();
 	}
 
 	@Test
-	void theRefusalSaysWhenTheRequestMayBeTried() {
+	void theRefusalStatesWhenTheRequestMayBeRetried() {
 		crashThreeTimes(this.requests, 0);
 
 		assertThat(refusal(1000, true)).hasValueSatisfying((refusal) -> {
@@ -203,80 +202,81 @@
 	}
 
 	@Test
-	void crashesThatRoutersSawOneEachAddUp() {
+	void crashesObservedByDifferentRoutersAddUp() {
 		CrashingRequests second = new CrashingRequests();
 		CrashingRequests third = new CrashingRequests();
 		crash(CRASHING, "e-1", 0);
 		second.crashed(CRASHING, "e-2", false, START_MS);
 		third.crashed(CRASHING, "e-3", false, START_MS);
 
-		tell(second, this.requests, 10);
-		tell(third, this.requests, 10);
+		send(second, this.requests, 10);
+		send(third, this.requests, 10);
 
 		assertThat(refused(CRASHING, SETTLED_MS)).isTrue();
 	}
 
 	@Test
-	void whatIsToldTwiceCountsOnce() {
+	void aHistoryReceivedTwiceCountsOnce() {
 		CrashingRequests second = new CrashingRequests();
 		second.crashed(CRASHING, "e-2", false, START_MS);
 		for (int at = 0; at < 500; at += 100) {
-			tell(second, this.requests, at);
-			tell(this.requests, second, at + 50);
+			send(second, this.requests, at);
+			send(this.requests, second, at + 50);
 		}
 
 		assertThat(crash(CRASHING, "e-3", 500)).isEqualTo(2);
 	}
 
-	// A router that starts has to hear of what is refused, however long ago that was.
+	// A newly started router has to receive what is refused, however old the refusal
+	// is.
 	@Test
-	void whatIsRefusedIsToldAsLongAsItIs() {
+	void aRefusedRequestIsSentToPeersAsLongAsItIsRefused() {
 		crashThreeTimes(this.requests, 0);
 
-		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.REMEMBERED_MS / 2)).hasSize(1);
-		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.REMEMBERED_MS + 1)).isEmpty();
+		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.RETENTION_MS / 2)).hasSize(1);
+		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.RETENTION_MS + 1)).isEmpty();
 	}
 
 	@Test
-	void aSingleCrashIsToldForAWhileOnly() {
+	void aSingleCrashIsSentDuringThePropagationTimeOnly() {
 		crash(CRASHING, "e-1", 0);
 
 		assertThat(this.requests.historiesToSend(START_MS + 1)).hasSize(1);
-		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.SPREAD_MS)).isEmpty();
+		assertThat(this.requests.historiesToSend(START_MS + CrashingRequests.PROPAGATION_MS)).isEmpty();
 	}
 
 	@Test
-	void whoeverSuspectsWhatRanWellElsewhereHearsOfIt() {
+	void aRouterThatSuspectsARequestReceivesThatItRanWellElsewhere() {
 		CrashingRequests second = new CrashingRequests();
 		crashThreeTimes(second, 0);
 		this.requests.ranWell(CRASHING, START_MS);
 
-		tell(second, this.requests, 10);
-		tell(this.requests, second, 20);
+		send(second, this.requests, 10);
+		send(this.requests, second, 20);
 
 		assertThat(second.refusal(CRASHING, START_MS + 30, () -> false)).isEmpty();
 		assertThat(second.refusal(CRASHING, START_MS + SETTLED_MS, () -> false)).isEmpty();
 		assertThat(refused(CRASHING, SETTLED_MS)).isFalse();
 	}
 
-	// Every engine of a large fleet ends: what is remembered and told stays bounded, and
-	// what is refused stays refused.
+	// Every engine of a large fleet crashes: the number of tracked requests and the
+	// size of messages stay bounded, and refused requests stay refused.
 	@Test
-	void aCrashOfManyPushesOutNothingThatIsRefused() {
+	void aCrashOfManyEvictsNoRefusedRequest() {
 		crashThreeTimes(this.requests, -SETTLED_MS);
-		for (int index = 100; index < 100 + 2 * CrashingRequests.MOST_SUSPECTS; index++) {
+		for (int index = 100; index < 100 + 2 * CrashingRequests.MAX_SUSPECTS; index++) {
 			crash(new RequestFingerprint(index), "e-4", 10);
 		}
 
 		assertThat(refused(CRASHING, 20)).isTrue();
-		assertThat(this.requests.historiesToSend(START_MS + 20)).hasSize(CrashingRequests.MOST_TOLD)
+		assertThat(this.requests.historiesToSend(START_MS + 20)).hasSize(CrashingRequests.MAX_HISTORIES_SENT)
 			.first()
 			.extracting(CrashHistory::fingerprint)
 			.isEqualTo(CRASHING);
 	}
 
 	@Test
-	void whatRoutersBeforeRefusedIsRefusedAndTriedAgainLikeTheirs() {
+	void aRestoredRefusalIsRefusedAndRetriedLikeAnyOther() {
 		this.requests.restored(CRASHING, START_MS);
 
 		assertThat(refused(CRASHING, 1)).isTrue();
@@ -288,7 +288,7 @@
 	}
 
 	@Test
-	void agesThatMakeNoSenseAreNotTaken() {
+	void invalidAgesAreIgnored() {
 		List<CrashHistory.Crash> crashes = List.of(new CrashHistory.Crash("e-1", -5, false),
 				new CrashHistory.Crash("e-2", Long.MAX_VALUE, false), new CrashHistory.Crash("e-3", 5, false));
 
@@ -303,7 +303,7 @@
 		requests.crashed(CRASHING, "e-3", false, START_MS + atMs);
 	}
 
-	private static void tell(CrashingRequests from, CrashingRequests to, long atMs) {
+	private static void send(CrashingRequests from, CrashingRequests to, long atMs) {
 		from.historiesToSend(START_MS + atMs).forEach((history) -> to.receive(history, START_MS + atMs));
 	}
 
@@ -315,8 +315,8 @@
 		return this.requests.refusal(request, START_MS + atMs, () -> false).isPresent();
 	}
 
-	private Optional<CrashingRequests.Refusal> refusal(long atMs, boolean triesAgain) {
-		return this.requests.refusal(CRASHING, START_MS + atMs, () -> triesAgain);
+	private Optional<CrashingRequests.Refusal> refusal(long atMs, boolean mayRetry) {
+		return this.requests.refusal(CRASHING, START_MS + atMs, () -> mayRetry);
 	}
 
 }
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/FleetRetryBudgetTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/FleetRetryBudgetTests.java
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Repeats of all routers together.
+ * The sum of the retries of all routers.
  */
 class FleetRetryBudgetTests {
 
@@ -23,9 +23,10 @@
 
 	private static final long WINDOW_MS = 10_000;
 
-	// Upstreams that fail for everybody are kept down by repeats. Eight routers want to
-	// repeat all they can for a minute, while some of them are replaced by ones that know
-	// nothing of what was spent. In no window may the sum be over the bound.
+	// Guards against retries that keep failing upstreams overloaded. Eight routers
+	// retry as much as they can for a minute, while some of them are replaced by
+	// routers without a record of what was spent. The sum must stay within the bound
+	// in every window.
 	@Property(tries = 20)
 	void theSumOfAllRoutersStaysWithinTheBoundWhileSomeAreReplaced(@ForAll long seed) {
 		Random random = new Random(seed);
@@ -34,7 +35,7 @@
 			routers.add(new FleetRetryBudget(RATIO, SLACK, WINDOW_MS));
 		}
 		Deque<Long> requests = new ArrayDeque<>();
-		Deque<Long> repeats = new ArrayDeque<>();
+		Deque<Long> retries = new ArrayDeque<>();
 		for (long nowMs = 0; nowMs < 60_000; nowMs += 50) {
 			if (nowMs % 10_000 == 5_000) {
 				routers.set(random.nextInt(8), new FleetRetryBudget(RATIO, SLACK, WINDOW_MS));
@@ -43,17 +44,17 @@
 			router.requested(nowMs);
 			requests.add(nowMs);
 			while (router.tryRepeat(nowMs, 8)) {
-				repeats.add(nowMs);
+				retries.add(nowMs);
 			}
 			long from = nowMs - WINDOW_MS;
 			requests.removeIf((atMs) -> atMs <= from);
-			repeats.removeIf((atMs) -> atMs <= from);
-			assertThat(repeats.size()).isLessThanOrEqualTo((int) (RATIO * requests.size() + SLACK));
+			retries.removeIf((atMs) -> atMs <= from);
+			assertThat(retries.size()).isLessThanOrEqualTo((int) (RATIO * requests.size() + SLACK));
 		}
 	}
 
 	@Test
-	void aSingleFailureIsRepeatedAtOnce() {
+	void aSingleFailureIsRetriedAtOnce() {
 		FleetRetryBudget budget = new FleetRetryBudget(RATIO, SLACK, WINDOW_MS);
 		budget.requested(0);
 
@@ -61,7 +62,7 @@
 	}
 
 	@Test
-	void whatWasSpentComesBackAfterTheWindow() {
+	void theBudgetIsRestoredAfterTheWindow() {
 		FleetRetryBudget budget = new FleetRetryBudget(RATIO, 12, WINDOW_MS);
 		while (budget.tryRepeat(0, 8)) {
 			budget.requested(0);
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/RequestFingerprintTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/RequestFingerprintTests.java
@@ -10,7 +10,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What makes two requests the same.
+ * Which requests count as equal.
  */
 class RequestFingerprintTests {
 
@@ -34,11 +34,10 @@
 		assertThat(prints).hasSize(7);
 	}
 
-	// A long body passes through in pieces: the part that was read before the first
-	// attempt
-	// differs from one time to the next.
+	// A long body is streamed: the part that has arrived before the first attempt
+	// differs between repeats.
 	@Test
-	void ofALongBodyTheBeginningCounts() {
+	void onlyTheBeginningOfALongBodyCounts() {
 		assertThat(print("agency", "POST", "/draft/1", "x".repeat(40_000)))
 			.isEqualTo(print("agency", "POST", "/draft/1", "x".repeat(50_000)));
 	}
@@ -53,7 +52,7 @@
 	}
 
 	@Test
-	void theBodyIsReadAgainAfterwards() {
+	void thePositionOfTheBodyIsUnchanged() {
 		ByteBuffer body = ByteBuffer.wrap("a prompt".getBytes(StandardCharsets.UTF_8));
 
 		RequestFingerprint.of("agency", "POST", "h", "/", body);
