--- a/whinjunction-core/src/main/java/io/whinjunction/chain/Congestion.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/Congestion.java
@@ -1,52 +1,55 @@
 package io.whinjunction.chain;
 
 /**
- * What it costs to use an engine whose room is partly taken.
+ * Cost of using an engine whose capacity is partly taken.
  * <p>
- * The load it answers: many requests at once, which fill the engines of one failure
- * domain while others, or copies of its layers, have room. Load moves away gently at
- * first and strongly near the end, and beyond the end nothing new comes: requests that an
- * engine has no room for wait there until others end. Stateless.
+ * Load pattern: many requests arrive at once and fill the engines of one failure domain
+ * while others, or copies of its layers, have capacity. Load moves away slowly at first
+ * and strongly near the limit, and beyond the limit nothing new is sent: requests that
+ * exceed an engine's capacity wait there until others finish. Stateless.
  */
 public final class Congestion {
 
 	/**
-	 * Tokens that other routers may have sent to an engine since they last said.
+	 * Tokens that other routers may have sent to an engine since their last report.
 	 */
-	private static final double UNSEEN_TOKENS = 6_000;
+	private static final double UNREPORTED_TOKENS = 6_000;
 
-	/** What an engine costs that is half full or less grows to a quarter of this. */
-	private static final double GENTLE_MS = 5;
+	/**
+	 * The cost of an engine that is at most half full stays within a quarter of this.
+	 */
+	private static final double LOW_LOAD_MS = 5;
 
-	/** What is added until the room is all taken. */
-	private static final double STRONG_MS = 40;
+	/** Additional cost, reached when all capacity is taken. */
+	private static final double HIGH_LOAD_MS = 40;
 
-	/** Where the strong part begins. */
-	private static final double STRONG_FROM = 0.7;
+	/** Used ratio above which the additional cost applies. */
+	private static final double HIGH_LOAD_RATIO = 0.7;
 
 	private Congestion() {
 	}
 
 	/**
-	 * Whether an engine takes nothing new. The size of the request that asks is left out,
-	 * or large ones would be turned away long before small ones.
-	 * @param usedPart the part of the room that is known to be taken
-	 * @param roomTokens all of the room, in tokens
-	 * @return {@code true} where all of it may be
+	 * Returns whether an engine takes nothing new. The size of the request itself is left
+	 * out, otherwise large requests would be rejected long before small ones.
+	 * @param usedRatio the ratio of the capacity that is known to be taken
+	 * @param capacityTokens the total capacity, in tokens
+	 * @return {@code true} if all of it may be taken
 	 */
-	public static boolean full(double usedPart, long roomTokens) {
-		return usedPart * roomTokens >= roomTokens - UNSEEN_TOKENS;
+	public static boolean full(double usedRatio, long capacityTokens) {
+		return usedRatio * capacityTokens >= capacityTokens - UNREPORTED_TOKENS;
 	}
 
 	/**
-	 * The cost.
-	 * @param usedPart the part of the room that is taken, the request itself included
+	 * Returns the cost of a hop.
+	 * @param usedRatio the ratio of the capacity that is taken, the request itself
+	 * included
 	 * @return milliseconds for a hop that runs all layers of the engine
 	 */
-	public static double costMs(double usedPart) {
-		double gentle = GENTLE_MS * usedPart * usedPart;
-		double over = Math.max(0, usedPart - STRONG_FROM) / (1 - STRONG_FROM);
-		return gentle + STRONG_MS * over * over;
+	public static double costMs(double usedRatio) {
+		double lowLoadMs = LOW_LOAD_MS * usedRatio * usedRatio;
+		double excess = Math.max(0, usedRatio - HIGH_LOAD_RATIO) / (1 - HIGH_LOAD_RATIO);
+		return lowLoadMs + HIGH_LOAD_MS * excess * excess;
 	}
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
@@ -10,19 +10,19 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * How many replicas of a model the engines of one failure domain should hold, and which
- * engine holds which layers where all of them are empty.
+ * Plan of how many replicas of a model the engines of one failure domain should hold, and
+ * which engine holds which layers if all of them are empty.
  * <p>
- * Each way to do it is rated by the requests a second that it carries
- * ({@link ChainForecast}). Layers go one by one to the engine that keeps the most room,
- * so that no engine is full while others are half empty. Among ways that carry nearly as
- * much, the one with the most engines left empty is taken, since an empty engine takes
- * over for a lost one within its load time.
+ * Each candidate is rated by the request rate that it sustains ({@link ChainForecast}).
+ * Layers are assigned one by one to the engine that keeps the most free capacity, so that
+ * no engine is full while others are half empty. Among candidates that sustain nearly the
+ * same rate, the one that leaves the most engines empty is chosen, since an empty engine
+ * replaces a lost one within its load time.
  * <p>
- * Invariant: the same engines give the same plan whatever their order. Immutable.
+ * Invariant: the same engines give the same plan regardless of their order. Immutable.
  *
- * @param replicas how often each layer should be held in the failure domain; 0 where the
- * model doesn't fit
+ * @param replicas the number of times each layer should be held in the failure domain; 0
+ * if the model does not fit
  * @param placements which engine holds which layers
  */
 public record DomainPlan(int replicas, List<Placement> placements) {
@@ -30,39 +30,39 @@
 	private static final Comparator<EngineKind> FASTEST_FIRST = Comparator.comparingDouble(EngineKind::stepFactor)
 		.thenComparing(EngineKind::name);
 
-	/** A plan for a failure domain in which the model doesn't fit. */
+	/** Plan for a failure domain in which the model does not fit. */
 	public static final DomainPlan NONE = new DomainPlan(0, List.of());
 
 	/**
-	 * How much of the best rate a plan must carry to be taken for its spare engines: a
-	 * loss costs its replica's whole rate for a load time, and the last quarter of the
+	 * Ratio of the best rate that a plan must sustain to be chosen for its spare engines:
+	 * a loss costs its replica's whole rate for a load time, and the last quarter of the
 	 * rate is needed at peaks only.
 	 */
-	private static final double ENOUGH_RATE = 0.8;
+	private static final double MIN_RATE_RATIO = 0.8;
 
 	/**
-	 * Room that every engine keeps, in tokens: about a dozen requests of a thousand
-	 * tokens, below which one more request is as likely refused as taken.
+	 * Capacity that every engine keeps, in tokens: about a dozen requests of a thousand
+	 * tokens. Below this, one more request is as likely refused as accepted.
 	 */
 	private static final long RESERVE_TOKENS = 12_000;
 
 	/**
-	 * Engines are tried by steps of a quarter of the replicas: one engine more or less
-	 * changes a replica's rate little, and the plans to rate grow with the square of the
-	 * engines.
+	 * The number of engines is varied in steps of a quarter of the replicas: one engine
+	 * more or less changes a replica's rate little, and the number of plans to rate grows
+	 * with the square of the number of engines.
 	 */
 	private static final int STEPS_PER_REPLICA = 4;
 
 	/**
-	 * The part of the engines that further replicas leave empty: a rack of a failure
-	 * domain can be lost at once, and what is empty takes its place.
+	 * Ratio of the engines that further replicas leave empty: a rack of a failure domain
+	 * can be lost at once, and empty engines replace it.
 	 */
-	private static final double SPARE_PART = 0.2;
+	private static final double SPARE_RATIO = 0.2;
 
 	/**
 	 * Plans a failure domain.
 	 * @param profile the model
-	 * @param engines the failure domain's engines that stay
+	 * @param engines the failure domain's engines that are not leaving
 	 * @return the plan
 	 */
 	public static DomainPlan of(ModelProfile profile, List<Engine> engines) {
@@ -81,20 +81,21 @@
 	}
 
 	/**
-	 * How often each layer should be held, whatever is held now.
+	 * Returns how often each layer should be held, regardless of what is held now.
 	 * @param profile the model
-	 * @param engines the failure domain's engines that stay
-	 * @return how often; 0 where the model doesn't fit
+	 * @param engines the failure domain's engines that are not leaving
+	 * @return the number of replicas; 0 if the model does not fit
 	 */
 	static int replicas(ModelProfile profile, List<Engine> engines) {
 		List<EngineKind> kinds = engines.stream().map(Engine::kind).sorted(FASTEST_FIRST).toList();
 		return options(profile, kinds).stream().mapToInt(Option::replicas).sum();
 	}
 
-	// The best way to divide all engines, then more replicas of what it leaves over.
+	// Returns the best way to divide all engines, then further replicas from the
+	// engines it leaves empty.
 	private static List<Option> options(ModelProfile profile, List<EngineKind> sorted) {
 		List<Option> options = new ArrayList<>();
-		int end = sorted.size() - (int) Math.ceil(SPARE_PART * sorted.size());
+		int end = sorted.size() - (int) Math.ceil(SPARE_RATIO * sorted.size());
 		int first = 0;
 		Option option = new Search(profile, sorted).best();
 		while (option != null) {
@@ -112,31 +113,31 @@
 			for (int index = replica; index < engines.size(); index += replicas) {
 				members.add(engines.get(index));
 			}
-			int[] held = share(profile, members.stream().map(Engine::kind).toList());
+			int[] held = assignLayers(profile, members.stream().map(Engine::kind).toList());
 			placements.addAll(inOrder(members, held));
 		}
 		return placements;
 	}
 
-	private static int[] share(ModelProfile profile, List<EngineKind> members) {
+	private static int[] assignLayers(ModelProfile profile, List<EngineKind> members) {
 		if (members.size() > PathFinder.MOST_HOPS) {
 			return null;
 		}
 		int[] held = new int[members.size()];
 		for (int layer = 0; layer < profile.layers(); layer++) {
-			int roomiest = -1;
-			long mostRoom = RESERVE_TOKENS;
+			int largest = -1;
+			long largestTokens = RESERVE_TOKENS;
 			for (int index = 0; index < held.length; index++) {
-				long room = profile.kvCapacityTokens(members.get(index), held[index] + 1);
-				if (room > mostRoom) {
-					mostRoom = room;
-					roomiest = index;
+				long tokens = profile.kvCapacityTokens(members.get(index), held[index] + 1);
+				if (tokens > largestTokens) {
+					largestTokens = tokens;
+					largest = index;
 				}
 			}
-			if (roomiest < 0) {
+			if (largest < 0) {
 				return null;
 			}
-			held[roomiest]++;
+			held[largest]++;
 		}
 		return held;
 	}
@@ -154,17 +155,17 @@
 	}
 
 	/**
-	 * A way to divide engines, the fastest first, dealt to replicas in turn.
+	 * A way to divide engines, sorted fastest first and dealt to replicas in turn.
 	 *
-	 * @param replicas how many replicas
-	 * @param used how many engines hold layers
-	 * @param rate requests a second that it carries
+	 * @param replicas the number of replicas
+	 * @param used the number of engines that hold layers
+	 * @param rate the sustained requests per second
 	 */
 	private record Option(int replicas, int used, double rate) {
 	}
 
 	/**
-	 * Tries the ways to divide engines; confined to its caller. Replicas that consist of
+	 * Rates the ways to divide engines; confined to its caller. Replicas that consist of
 	 * the same kinds are rated once: of 522 engines of three kinds, a few hundred
 	 * different replicas remain.
 	 */
@@ -174,7 +175,7 @@
 
 		private final List<EngineKind> sorted;
 
-		/** Where each kind begins in {@link #sorted}, and its end. */
+		/** Start index of each kind in {@link #sorted}, followed by the end index. */
 		private final int[] bounds;
 
 		private final Map<Composition, Double> rates = new HashMap<>();
@@ -194,10 +195,10 @@
 
 		Option best() {
 			List<Option> options = new ArrayList<>();
-			for (int replicas = 1; replicas <= mostReplicas(); replicas++) {
+			for (int replicas = 1; replicas <= maxReplicas(); replicas++) {
 				int step = Math.max(1, replicas / STEPS_PER_REPLICA);
-				int longest = Math.min(this.sorted.size(), replicas * PathFinder.MOST_HOPS);
-				for (int used = replicas; used <= longest; used += step) {
+				int maxUsed = Math.min(this.sorted.size(), replicas * PathFinder.MOST_HOPS);
+				for (int used = replicas; used <= maxUsed; used += step) {
 					double rate = rate(replicas, used);
 					if (rate > 0) {
 						options.add(new Option(replicas, used, rate));
@@ -206,14 +207,14 @@
 			}
 			double bestRate = options.stream().mapToDouble(Option::rate).max().orElse(0);
 			return options.stream()
-				.filter((option) -> option.rate() >= ENOUGH_RATE * bestRate)
+				.filter((option) -> option.rate() >= MIN_RATE_RATIO * bestRate)
 				.min(Comparator.comparingInt(Option::used)
 					.thenComparing(Comparator.comparingDouble(Option::rate).reversed()))
 				.orElse(null);
 		}
 
-		private int mostReplicas() {
-			int layers = this.sorted.stream().mapToInt((kind) -> this.profile.mostLayers(kind, RESERVE_TOKENS)).sum();
+		private int maxReplicas() {
+			int layers = this.sorted.stream().mapToInt((kind) -> this.profile.maxLayers(kind, RESERVE_TOKENS)).sum();
 			return layers / this.profile.layers();
 		}
 
@@ -238,7 +239,7 @@
 			return new Composition(counts);
 		}
 
-		// How many of the first engines are dealt to a replica.
+		// Returns how many of the first engines are dealt to a replica.
 		private static int dealt(int engines, int replica, int replicas) {
 			return (engines <= replica) ? 0 : (engines - replica + replicas - 1) / replicas;
 		}
@@ -250,7 +251,7 @@
 					members.add(this.sorted.get(this.bounds[kind]));
 				}
 			}
-			int[] held = share(this.profile, members);
+			int[] held = assignLayers(this.profile, members);
 			if (held == null) {
 				return 0;
 			}
@@ -265,7 +266,7 @@
 
 	}
 
-	/** How many engines of each kind a replica has; immutable. */
+	/** Number of engines of each kind in a replica; immutable. */
 	private static final class Composition {
 
 		private final int[] counts;
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/Engine.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/Engine.java
@@ -3,11 +3,11 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * An engine as it is known now. Immutable.
+ * Last known state of an engine. Immutable.
  *
- * @param id the name of this start of the engine
+ * @param id the name of the engine, unique for each start
  * @param address {@code IP:PORT}
- * @param failureDomain where it is
+ * @param failureDomain its failure domain
  * @param kind its kind of accelerator
  * @param held the layers it holds, or {@code null}
  * @param leaving whether it takes no new work
@@ -16,8 +16,8 @@
 		boolean leaving) {
 
 	/**
-	 * How many layers it holds.
-	 * @return 0 where it is empty
+	 * Returns the number of layers it holds.
+	 * @return 0 if it is empty
 	 */
 	public int heldLayers() {
 		return (this.held != null) ? this.held.end() - this.held.first() : 0;
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/EngineKind.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/EngineKind.java
@@ -5,9 +5,9 @@
  *
  * @param name its name
  * @param memoryMb memory for layers and requests, in megabytes
- * @param stepFactor how many times longer a step takes than on the reference kind
- * @param readFactor how many times longer reading a prompt takes than on the reference
- * kind
+ * @param stepFactor the duration of a step, as a multiple of that on the reference kind
+ * @param prefillFactor the duration of processing a prompt, as a multiple of that on the
+ * reference kind
  */
-public record EngineKind(String name, double memoryMb, double stepFactor, double readFactor) {
+public record EngineKind(String name, double memoryMb, double stepFactor, double prefillFactor) {
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/Hop.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/Hop.java
@@ -3,7 +3,7 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * A part of a path: an engine and the layers that it runs for the request. Immutable.
+ * One engine of a path and the layers that it runs for the request. Immutable.
  *
  * @param engine the engine
  * @param layers the layers it runs, all of which it holds
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
@@ -12,40 +12,41 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * Plans which engines hold which layers, and what to order after a loss.
+ * Plans which engines hold which layers, and which placements to order after a loss.
  * <p>
- * The load it answers: an engine that is lost or leaves makes a hole, and every request
- * of its failure domain needs a detour until the hole is filled. Empty engines fill it in
- * their load time and cost nobody anything; where none is left, the neighbours of the
- * hole extend their ranges, since they serve on while they load.
+ * Load pattern: an engine that is lost or leaves causes a layer gap, and every request of
+ * its failure domain needs a detour until the gap is closed. Empty engines close it
+ * within their load time and at no cost to running requests. If no engine is empty, the
+ * neighbours of the gap extend their ranges, since they keep serving while they load.
  * <p>
- * Level-triggered: it compares what is wanted with what engines hold or were ordered to
- * hold, each time anew, so that a lost, doubled or late order only costs one more round.
- * Invariants: no engine is given more layers than its memory holds; layers that an engine
- * holds are never taken from it; the same state gives the same plan. Stateless.
+ * Level-triggered: compares the target with what engines hold or were ordered to hold,
+ * anew each time, so that a lost, duplicated or late order only costs one more round.
+ * Invariants: no engine is assigned more layers than its memory holds; layers that an
+ * engine holds are never taken from it; the same state gives the same plan. Stateless.
  */
 public final class LayerPlanner {
 
 	/**
-	 * Room that an engine keeps which fills a hole, in tokens: routers know its load
-	 * late, and a hole that other failure domains go round costs less than a full engine.
+	 * Capacity that an engine keeps when it closes a gap, in tokens: routers receive its
+	 * load late, and a gap that requests bypass through other failure domains costs less
+	 * than a full engine.
 	 */
 	private static final long EXTENDED_RESERVE_TOKENS = 30_000;
 
 	/**
-	 * The part of the tightest holder's room that an empty engine keeps when it fills a
-	 * hole: the narrowest part of a path bounds all of it.
+	 * Ratio of the tightest holder's capacity that an empty engine keeps when it closes a
+	 * gap: the engine with the least capacity bounds the whole path.
 	 */
-	private static final double USUAL_ROOM_PART = 0.8;
+	private static final double CAPACITY_RATIO = 0.8;
 
 	/**
-	 * An engine that is taken up by more than this is helped: loading a copy takes one to
-	 * two seconds, in which a peak fills the rest.
+	 * An engine whose used ratio exceeds this gets a copy of its layers elsewhere:
+	 * loading a copy takes one to two seconds, within which a peak fills the rest.
 	 */
-	private static final double RELIEVED_PART = 0.6;
+	private static final double RELIEF_RATIO = 0.6;
 
-	/** Empty engines that stay so for the next loss. */
-	private static final int KEPT_EMPTY = 1;
+	/** Number of empty engines that are kept for the next loss. */
+	private static final int MIN_EMPTY = 1;
 
 	private LayerPlanner() {
 	}
@@ -54,7 +55,7 @@
 	 * Plans the next orders.
 	 * @param profile the model
 	 * @param engines all engines; {@link Engine#held()} is what an engine was last
-	 * ordered to hold where that order still runs
+	 * ordered to hold if that order is still running
 	 * @return the placements to order, the most urgent first; each engine at most once
 	 */
 	public static List<Placement> plan(ModelProfile profile, List<Engine> engines) {
@@ -65,7 +66,7 @@
 	 * Plans the next orders, as {@link #plan(ModelProfile, List)}.
 	 * @param profile the model
 	 * @param engines all engines
-	 * @param wanted remembers from one plan to the next how often layers should be held
+	 * @param wanted the cached numbers of replicas, kept from one plan to the next
 	 * @return the placements to order, the most urgent first
 	 */
 	public static List<Placement> plan(ModelProfile profile, List<Engine> engines, ReplicaCounts wanted) {
@@ -86,24 +87,24 @@
 	}
 
 	/**
-	 * Plans copies of layers whose only holder is crowded.
+	 * Plans copies of layers whose only holder is congested.
 	 * @param profile the model
 	 * @param engines all engines, as for {@link #plan}
-	 * @param usedPart the part of an engine's room that is taken
-	 * @return at most one placement for a failure domain
+	 * @param usedRatio the ratio of an engine's capacity that is taken
+	 * @return at most one placement per failure domain
 	 */
 	public static List<Placement> relieve(ModelProfile profile, List<Engine> engines,
-			ToDoubleFunction<Engine> usedPart) {
+			ToDoubleFunction<Engine> usedRatio) {
 		Map<String, List<Engine>> byDomain = engines.stream()
 			.filter((engine) -> !engine.leaving())
 			.collect(Collectors.groupingBy(Engine::failureDomain, TreeMap::new, Collectors.toList()));
 		List<Placement> placements = new ArrayList<>();
 		byDomain.values()
-			.forEach((ofDomain) -> new Repair(profile, ofDomain, 1).relief(usedPart).ifPresent(placements::add));
+			.forEach((ofDomain) -> new Repair(profile, ofDomain, 1).relief(usedRatio).ifPresent(placements::add));
 		return placements;
 	}
 
-	/** The repair of one failure domain; confined to its caller. */
+	/** Repair of one failure domain; confined to its caller. */
 	private static final class Repair {
 
 		private final ModelProfile profile;
@@ -116,7 +117,7 @@
 
 		private final int[] coverage;
 
-		private final long usualRoom;
+		private final long targetCapacity;
 
 		Repair(ModelProfile profile, List<Engine> engines, int replicas) {
 			this.profile = profile;
@@ -130,7 +131,7 @@
 				.filter((engine) -> engine.held() != null)
 				.sorted(Comparator.comparing(Engine::id))
 				.collect(Collectors.toCollection(ArrayList::new));
-			this.usualRoom = (long) (USUAL_ROOM_PART * this.holders.stream()
+			this.targetCapacity = (long) (CAPACITY_RATIO * this.holders.stream()
 				.mapToLong((engine) -> profile.kvCapacityTokens(engine.kind(), engine.heldLayers()))
 				.min()
 				.orElse(0));
@@ -140,46 +141,47 @@
 
 		void addTo(List<Placement> placements) {
 			for (int wanted = 1; wanted <= this.replicas; wanted++) {
-				LayerRange hole = firstHole(wanted, 0);
-				while (hole != null) {
-					Placement placement = fill(hole);
+				LayerRange gap = firstGap(wanted, 0);
+				while (gap != null) {
+					Placement placement = fill(gap);
 					if (placement != null) {
 						placements.add(placement);
-						cover(hole, placement.layers());
+						cover(gap, placement.layers());
 					}
-					int next = (placement != null) ? hole.first() : hole.end();
-					hole = firstHole(wanted, next);
+					int next = (placement != null) ? gap.first() : gap.end();
+					gap = firstGap(wanted, next);
 				}
 			}
 		}
 
-		Optional<Placement> relief(ToDoubleFunction<Engine> usedPart) {
-			Engine crowded = this.holders.stream()
-				.filter((engine) -> usedPart.applyAsDouble(engine) > RELIEVED_PART && alone(engine.held()) != null)
-				.max(Comparator.comparingDouble(usedPart))
+		Optional<Placement> relief(ToDoubleFunction<Engine> usedRatio) {
+			Engine congested = this.holders.stream()
+				.filter((engine) -> usedRatio.applyAsDouble(engine) > RELIEF_RATIO && soleRange(engine.held()) != null)
+				.max(Comparator.comparingDouble(usedRatio))
 				.orElse(null);
-			if (crowded == null || this.empty.size() <= KEPT_EMPTY || !affordable(crowded)) {
+			if (congested == null || this.empty.size() <= MIN_EMPTY || !affordable(congested)) {
 				return Optional.empty();
 			}
 			Engine helper = this.empty.getLast();
-			LayerRange alone = alone(crowded.held());
-			long room = this.profile.kvCapacityTokens(crowded.kind(), crowded.heldLayers());
-			int taken = Math.min(alone.end() - alone.first(), this.profile.mostLayers(helper.kind(), room));
-			return (taken > 0)
-					? Optional.of(new Placement(helper, new LayerRange(alone.first(), alone.first() + taken)))
+			LayerRange soleRange = soleRange(congested.held());
+			long capacity = this.profile.kvCapacityTokens(congested.kind(), congested.heldLayers());
+			int count = Math.min(soleRange.end() - soleRange.first(), this.profile.maxLayers(helper.kind(), capacity));
+			return (count > 0)
+					? Optional.of(new Placement(helper, new LayerRange(soleRange.first(), soleRange.first() + count)))
 					: Optional.empty();
 		}
 
-		// A copy of the largest holder's layers also makes its loss smaller. For any
-		// other one, enough has to stay empty to take the largest holder's place.
-		private boolean affordable(Engine crowded) {
+		// A copy of the largest holder's layers also reduces the effect of its loss.
+		// For any other holder, enough engines have to stay empty to replace the
+		// largest holder.
+		private boolean affordable(Engine congested) {
 			int largest = this.holders.stream().mapToInt(Engine::heldLayers).max().orElse(0);
-			int left = this.empty.subList(0, this.empty.size() - 1).stream().mapToInt(this::most).sum();
-			return crowded.heldLayers() == largest || left >= largest;
+			int left = this.empty.subList(0, this.empty.size() - 1).stream().mapToInt(this::maxLayers).sum();
+			return congested.heldLayers() == largest || left >= largest;
 		}
 
-		// The first stretch of layers that nobody else holds.
-		private LayerRange alone(LayerRange held) {
+		// Returns the first contiguous range of layers that no other engine holds.
+		private LayerRange soleRange(LayerRange held) {
 			int first = held.first();
 			while (first < held.end() && this.coverage[first] > 1) {
 				first++;
@@ -197,13 +199,13 @@
 			}
 		}
 
-		private void cover(LayerRange hole, LayerRange placed) {
-			int first = Math.max(hole.first(), placed.first());
-			int end = Math.min(hole.end(), placed.end());
+		private void cover(LayerRange gap, LayerRange placed) {
+			int first = Math.max(gap.first(), placed.first());
+			int end = Math.min(gap.end(), placed.end());
 			cover(new LayerRange(first, end));
 		}
 
-		private LayerRange firstHole(int wanted, int from) {
+		private LayerRange firstGap(int wanted, int from) {
 			int first = from;
 			while (first < this.coverage.length && this.coverage[first] >= wanted) {
 				first++;
@@ -215,66 +217,69 @@
 			return (end > first) ? new LayerRange(first, end) : null;
 		}
 
-		private Placement fill(LayerRange hole) {
-			Placement byEmpty = fillByEmpty(hole);
-			return (byEmpty != null) ? byEmpty : fillByNeighbour(hole);
+		private Placement fill(LayerRange gap) {
+			Placement withEmpty = fillWithEmpty(gap);
+			return (withEmpty != null) ? withEmpty : fillWithNeighbour(gap);
 		}
 
-		private Placement fillByEmpty(LayerRange hole) {
-			int length = hole.end() - hole.first();
-			Engine chosen = this.empty.stream().filter((engine) -> most(engine) > 0).findFirst().orElse(null);
+		private Placement fillWithEmpty(LayerRange gap) {
+			int length = gap.end() - gap.first();
+			Engine chosen = this.empty.stream().filter((engine) -> maxLayers(engine) > 0).findFirst().orElse(null);
 			if (chosen == null) {
 				return null;
 			}
 			this.empty.remove(chosen);
-			int taken = Math.min(length, Math.max(1, comfortable(chosen, length)));
-			return new Placement(chosen, new LayerRange(hole.first(), hole.first() + taken));
+			int count = Math.min(length, Math.max(1, layersWithinTarget(chosen, length)));
+			return new Placement(chosen, new LayerRange(gap.first(), gap.first() + count));
 		}
 
-		// No more layers than leave an empty engine the room that the others have, or its
-		// part by memory where all empty ones together can't have that much.
-		private int comfortable(Engine chosen, int length) {
+		// Limits the layers so that an empty engine keeps the capacity of the other
+		// holders or, if all empty engines together cannot provide that, a share by
+		// memory.
+		private int layersWithinTarget(Engine chosen, int length) {
 			List<Engine> candidates = new ArrayList<>(this.empty);
 			candidates.add(chosen);
-			long room = this.usualRoom;
-			while (room > EXTENDED_RESERVE_TOKENS) {
-				long reserve = room;
+			long capacity = this.targetCapacity;
+			while (capacity > EXTENDED_RESERVE_TOKENS) {
+				long reserve = capacity;
 				int together = candidates.stream()
-					.mapToInt((engine) -> this.profile.mostLayers(engine.kind(), reserve))
+					.mapToInt((engine) -> this.profile.maxLayers(engine.kind(), reserve))
 					.sum();
 				if (together >= length) {
-					return this.profile.mostLayers(chosen.kind(), reserve);
+					return this.profile.maxLayers(chosen.kind(), reserve);
 				}
-				room = room * 9 / 10;
+				capacity = capacity * 9 / 10;
 			}
-			return most(chosen);
+			return maxLayers(chosen);
 		}
 
-		private Placement fillByNeighbour(LayerRange hole) {
-			Engine left = roomiest(hole.first(), -1);
-			Engine right = roomiest(-1, hole.end());
+		private Placement fillWithNeighbour(LayerRange gap) {
+			Engine left = neighbourWithMostSpare(gap.first(), -1);
+			Engine right = neighbourWithMostSpare(-1, gap.end());
 			int leftSpare = spare(left);
 			int rightSpare = spare(right);
-			int length = hole.end() - hole.first();
+			int length = gap.end() - gap.first();
 			if (leftSpare + rightSpare == 0) {
 				return null;
 			}
-			// The hole is divided as the room is, so that both keep some.
-			int byLeft = Math.min(leftSpare, Math.ceilDiv(length * leftSpare, leftSpare + rightSpare));
-			if (byLeft > 0) {
-				return extend(left, new LayerRange(left.held().first(), hole.first() + Math.min(byLeft, length)));
+			// The gap is divided in proportion to spare capacity, so that both
+			// neighbours keep some.
+			int leftLayers = Math.min(leftSpare, Math.ceilDiv(length * leftSpare, leftSpare + rightSpare));
+			if (leftLayers > 0) {
+				return extend(left, new LayerRange(left.held().first(), gap.first() + Math.min(leftLayers, length)));
 			}
-			int byRight = Math.min(rightSpare, length);
-			return extend(right, new LayerRange(hole.end() - byRight, right.held().end()));
+			int rightLayers = Math.min(rightSpare, length);
+			return extend(right, new LayerRange(gap.end() - rightLayers, right.held().end()));
 		}
 
 		private Placement extend(Engine engine, LayerRange layers) {
-			// One order an engine and round: its state after it is known only later.
+			// At most one order per engine and round: its state after the order is
+			// known only later.
 			this.holders.remove(engine);
 			return new Placement(engine, layers);
 		}
 
-		private Engine roomiest(int heldEnd, int heldFirst) {
+		private Engine neighbourWithMostSpare(int heldEnd, int heldFirst) {
 			return this.holders.stream()
 				.filter((engine) -> engine.held().end() == heldEnd || engine.held().first() == heldFirst)
 				.max(Comparator.comparingInt(this::spare).thenComparing(Engine::id))
@@ -282,11 +287,11 @@
 		}
 
 		private int spare(Engine engine) {
-			return (engine != null) ? Math.max(0, most(engine) - engine.heldLayers()) : 0;
+			return (engine != null) ? Math.max(0, maxLayers(engine) - engine.heldLayers()) : 0;
 		}
 
-		private int most(Engine engine) {
-			return this.profile.mostLayers(engine.kind(), EXTENDED_RESERVE_TOKENS);
+		private int maxLayers(Engine engine) {
+			return this.profile.maxLayers(engine.kind(), EXTENDED_RESERVE_TOKENS);
 		}
 
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
@@ -3,30 +3,31 @@
 import java.util.Map;
 
 /**
- * How a model runs on engines, as the operators publish it. Immutable.
+ * Performance figures of a model on engines, as published by the operators. Immutable.
  *
- * @param name the model's name
- * @param layers how many layers it has
- * @param layerMb memory of one layer, in megabytes
- * @param kvBytesPerToken memory of one token over all layers, in bytes
- * @param stepMs one token step of all layers on the reference kind, in milliseconds
- * @param stepPerSequenceMs what each request that is writing adds to a step, in
+ * @param name the name of the model
+ * @param layers the number of layers
+ * @param layerMb the memory of one layer, in megabytes
+ * @param kvBytesPerToken the memory of one token over all layers, in bytes
+ * @param stepMs the duration of one token step of all layers on the reference kind, in
  * milliseconds
- * @param stepPerThousandTokensMs what a thousand tokens of context add to a step, in
+ * @param stepPerSequenceMs the time that each generating request adds to a step, in
  * milliseconds
- * @param readTokensPerSecond prompt tokens that the reference kind reads a second
- * @param stepsPerPass steps that run between two rounds of admission
- * @param loadSeconds how long all layers take to load, in seconds
- * @param loadsAtOnce loads that run at full speed at the same time
- * @param requestsAtOnce requests that an engine runs at the same time
- * @param transfer what moving activations costs
+ * @param stepPerThousandTokensMs the time that a thousand tokens of context add to a
+ * step, in milliseconds
+ * @param prefillTokensPerSecond prompt tokens per second on the reference kind
+ * @param stepsPerPass the number of steps between two rounds of admission
+ * @param loadSeconds the time to load all layers, in seconds
+ * @param loadsAtOnce the number of concurrent loads that run at full speed
+ * @param maxConcurrentRequests the number of requests that an engine runs concurrently
+ * @param transfer the cost of transferring activations
  * @param meanPromptTokens the mean prompt, in tokens
  * @param meanAnswerTokens the mean answer, in tokens
  * @param kinds the kinds of accelerators by name
  */
 public record ModelProfile(String name, int layers, double layerMb, double kvBytesPerToken, double stepMs,
-		double stepPerSequenceMs, double stepPerThousandTokensMs, double readTokensPerSecond, int stepsPerPass,
-		double loadSeconds, int loadsAtOnce, int requestsAtOnce, Transfer transfer, int meanPromptTokens,
+		double stepPerSequenceMs, double stepPerThousandTokensMs, double prefillTokensPerSecond, int stepsPerPass,
+		double loadSeconds, int loadsAtOnce, int maxConcurrentRequests, Transfer transfer, int meanPromptTokens,
 		int meanAnswerTokens, Map<String, EngineKind> kinds) {
 
 	private static final double BYTES_PER_MB = 1_000_000;
@@ -38,7 +39,7 @@
 	}
 
 	/**
-	 * The mean size of a request.
+	 * Returns the mean size of a request.
 	 * @return prompt and answer, in tokens
 	 */
 	public int meanTokens() {
@@ -46,10 +47,10 @@
 	}
 
 	/**
-	 * Tokens that fit beside the layers of an engine.
-	 * @param kind the engine's kind
-	 * @param held how many layers it holds
-	 * @return tokens that may pass through all of them at once; 0 where nothing is left
+	 * Returns the KV cache capacity of an engine beside its layers.
+	 * @param kind the kind of the engine
+	 * @param held the number of layers it holds
+	 * @return tokens that may pass through all of them at once; 0 if no memory is left
 	 */
 	public long kvCapacityTokens(EngineKind kind, int held) {
 		if (held <= 0) {
@@ -60,57 +61,57 @@
 	}
 
 	/**
-	 * Memory for requests beside the layers of an engine.
-	 * @param kind the engine's kind
-	 * @param held how many layers it holds
-	 * @return tokens times layers that fit
+	 * Returns the memory for requests of an engine beside its layers.
+	 * @param kind the kind of the engine
+	 * @param held the number of layers it holds
+	 * @return the number of tokens that fit, times layers
 	 */
 	public long kvCapacityTokenLayers(EngineKind kind, int held) {
 		return kvCapacityTokens(kind, held) * held;
 	}
 
 	/**
-	 * The most layers that an engine can hold while it keeps room for requests.
-	 * @param kind the engine's kind
-	 * @param reserveTokens the room to keep, in tokens
-	 * @return how many layers
+	 * Returns the maximum number of layers that an engine can hold with a given reserve.
+	 * @param kind the kind of the engine
+	 * @param reserveTokens the KV cache capacity to keep, in tokens
+	 * @return the number of layers
 	 */
-	public int mostLayers(EngineKind kind, long reserveTokens) {
+	public int maxLayers(EngineKind kind, long reserveTokens) {
 		double layerBytes = this.layerMb * BYTES_PER_MB + reserveTokens * this.kvBytesPerToken / this.layers;
 		return (int) Math.min(this.layers, Math.floor(kind.memoryMb() * BYTES_PER_MB / layerBytes));
 	}
 
 	/**
-	 * A token step of one layer.
-	 * @param kind the engine's kind
-	 * @param writing requests that write at once
+	 * Returns the duration of a token step of one layer.
+	 * @param kind the kind of the engine
+	 * @param concurrentRequests the number of requests that generate concurrently
 	 * @return milliseconds
 	 */
-	public double layerStepMs(EngineKind kind, double writing) {
+	public double layerStepMs(EngineKind kind, double concurrentRequests) {
 		double perSequenceMs = this.stepPerSequenceMs + this.stepPerThousandTokensMs * meanTokens() / 1000;
-		return (this.stepMs + writing * perSequenceMs) * kind.stepFactor() / this.layers;
+		return (this.stepMs + concurrentRequests * perSequenceMs) * kind.stepFactor() / this.layers;
 	}
 
 	/**
-	 * Reading a prompt through some layers.
-	 * @param kind the engine's kind
-	 * @param held how many layers
-	 * @param tokens prompt tokens
-	 * @return milliseconds; 0 where the model's reading rate isn't published
+	 * Returns the duration of processing a prompt in some layers.
+	 * @param kind the kind of the engine
+	 * @param held the number of layers
+	 * @param tokens the prompt tokens
+	 * @return milliseconds; 0 if the prompt rate of the model is not published
 	 */
 	public double readMs(EngineKind kind, int held, double tokens) {
-		if (this.readTokensPerSecond <= 0) {
+		if (this.prefillTokensPerSecond <= 0) {
 			return 0;
 		}
-		return tokens * MS_PER_S / this.readTokensPerSecond * kind.readFactor() * held / this.layers;
+		return tokens * MS_PER_S / this.prefillTokensPerSecond * kind.prefillFactor() * held / this.layers;
 	}
 
 	/**
-	 * What moving activations between engines costs. Immutable.
+	 * Cost of transferring activations between engines. Immutable.
 	 *
-	 * @param bytesPerToken activations of one token, in bytes
-	 * @param pipeMbps the pipe that all transfers between two failure domains share, in
-	 * megabits a second
+	 * @param bytesPerToken the activations of one token, in bytes
+	 * @param pipeMbps the bandwidth that all transfers between two failure domains share,
+	 * in megabits per second
 	 */
 	public record Transfer(double bytesPerToken, double pipeMbps) {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
@@ -18,35 +18,35 @@
 
 /**
  * Finds the engines that a request passes through: the cheapest path over layer
- * boundaries, where an engine may run any part of the range it holds.
+ * boundaries, where an engine may run any sub-range of the layers it holds.
  * <p>
- * The load it answers: engines with unlike speeds, holes after a loss and engines without
- * room. A path may leave the failure domain, or lie in another one as a whole, where that
- * is cheaper than a full or missing engine at home.
+ * Load pattern: engines of different speed, layer gaps after a loss and engines without
+ * free capacity. A path may leave the failure domain, or run entirely in another one, if
+ * that is cheaper than a full or missing engine in the home domain.
  * <p>
- * Invariants: the layers of a path follow each other from its start to the last without
- * gap or overlap; no engine stands in it twice. Stateless.
+ * Invariants: the layers of a path are contiguous from its start to the last layer,
+ * without gap or overlap; no engine occurs twice. Stateless.
  */
 public final class PathFinder {
 
-	/** The most engines that a path may name; longer ones are refused by engines. */
+	/** Maximum number of engines in a path; engines refuse longer ones. */
 	public static final int MOST_HOPS = 32;
 
-	/** A hop inside a failure domain: two sides of a link of 0.1 ms each. */
+	/** Cost of a hop inside a failure domain: both sides of a link of 0.1 ms each. */
 	private static final double HOP_MS = 0.2;
 
 	/**
-	 * What a hop to another failure domain adds: the activations of a prompt hold up the
-	 * pipe that all such hops share. As much as a whole path inside a failure domain, so
-	 * that a path goes elsewhere as a whole where it can.
+	 * Additional cost of a hop to another failure domain: the activations of a prompt
+	 * occupy the bandwidth that all such hops share. As high as a whole path inside a
+	 * failure domain, so that a path moves to another domain entirely if it can.
 	 */
 	private static final double DOMAIN_CHANGE_MS = 8.0;
 
 	/**
-	 * What a path in another failure domain than the caller's costs: the text of a
-	 * request and its events cross once each, not the activations.
+	 * Cost of a path in a failure domain other than the caller's: the text of a request
+	 * and its events cross once each, the activations do not.
 	 */
-	private static final double AWAY_MS = 1.0;
+	private static final double REMOTE_MS = 1.0;
 
 	private PathFinder() {
 	}
@@ -54,30 +54,30 @@
 	/**
 	 * Finds the cheapest path.
 	 * @param profile the model
-	 * @param engines engines that may be used, with what they cost
-	 * @param start where the path begins
-	 * @return the hops in order, or empty where no path covers all layers
+	 * @param engines the usable engines with their costs
+	 * @param start the start of the path
+	 * @return the hops in order, or empty if no path covers all layers
 	 */
 	public static Optional<List<Hop>> find(ModelProfile profile, Collection<Candidate> engines, Start start) {
 		Set<String> excluded = new HashSet<>();
-		// Each round excludes one engine that stood between two parts of another, so
-		// that the rounds end.
+		// Each round excludes one engine that lay between two hops of the same
+		// engine, so the loop terminates.
 		while (excluded.size() <= engines.size()) {
 			Search search = new Search(profile, engines, start, excluded);
 			List<Hop> hops = search.run();
 			if (hops == null || hops.size() > MOST_HOPS) {
 				return Optional.empty();
 			}
-			String between = betweenParts(hops);
-			if (between == null) {
+			String excludedNext = engineBetweenSplitHops(hops);
+			if (excludedNext == null) {
 				return Optional.of(hops);
 			}
-			excluded.add(between);
+			excluded.add(excludedNext);
 		}
 		return Optional.empty();
 	}
 
-	private static String betweenParts(List<Hop> hops) {
+	private static String engineBetweenSplitHops(List<Hop> hops) {
 		Map<String, Integer> seen = new HashMap<>();
 		for (int index = 0; index < hops.size(); index++) {
 			Integer before = seen.put(hops.get(index).engine().id(), index);
@@ -89,27 +89,27 @@
 	}
 
 	/**
-	 * Where a path begins. Immutable.
+	 * Start of a path. Immutable.
 	 *
 	 * @param layer the first layer that it covers
-	 * @param failureDomain the failure domain from which it is reached without a detour
-	 * @param awayMs what beginning in another one costs, in milliseconds
-	 * @param mayStart whether it may begin at an engine
+	 * @param failureDomain the failure domain from which it is reached at no extra cost
+	 * @param remoteMs the cost of starting in another failure domain, in milliseconds
+	 * @param mayStart whether it may start at an engine
 	 */
-	public record Start(int layer, String failureDomain, double awayMs, Predicate<Engine> mayStart) {
+	public record Start(int layer, String failureDomain, double remoteMs, Predicate<Engine> mayStart) {
 
 		/**
-		 * A whole path.
+		 * Returns the start of a full path.
 		 * @param home the failure domain of the caller
-		 * @param mayStart whether it may begin at an engine
+		 * @param mayStart whether it may start at an engine
 		 * @return the start
 		 */
 		public static Start whole(String home, Predicate<Engine> mayStart) {
-			return new Start(0, home, AWAY_MS, mayStart);
+			return new Start(0, home, REMOTE_MS, mayStart);
 		}
 
 		/**
-		 * The rest of a path whose first hop stays.
+		 * Returns the start of the remaining path behind a first hop that stays.
 		 * @param first the first hop
 		 * @return the start
 		 */
@@ -120,18 +120,18 @@
 	}
 
 	/**
-	 * An engine that may be used.
+	 * A usable engine.
 	 *
 	 * @param engine the engine, which holds layers
 	 * @param layerMs the expected time of a token step of one of its layers, in
 	 * milliseconds
-	 * @param penaltyMs what using it costs besides, in milliseconds; larger for engines
-	 * that are nearly full or were slow
+	 * @param penaltyMs the additional cost of using it, in milliseconds; higher for
+	 * engines that are nearly full or were slow
 	 */
 	public record Candidate(Engine engine, double layerMs, double penaltyMs) {
 	}
 
-	/** One run of the search; confined to its caller. */
+	/** A single run of the search; confined to its caller. */
 	private static final class Search {
 
 		private final int[] bounds;
@@ -172,7 +172,7 @@
 			this.steps = new Step[this.costs.length];
 			Arrays.fill(this.costs, Double.POSITIVE_INFINITY);
 			for (int domain = 0; domain < this.domains.size(); domain++) {
-				this.costs[firstBound() * this.domains.size() + domain] = (domain == HOME) ? 0 : start.awayMs();
+				this.costs[firstBound() * this.domains.size() + domain] = (domain == HOME) ? 0 : start.remoteMs();
 			}
 		}
 
@@ -184,7 +184,7 @@
 					}
 				}
 			}
-			return back();
+			return backtrack();
 		}
 
 		private int firstBound() {
@@ -227,7 +227,7 @@
 			}
 		}
 
-		private List<Hop> back() {
+		private List<Hop> backtrack() {
 			int at = this.bounds.length - 1;
 			int domain = -1;
 			double best = Double.POSITIVE_INFINITY;
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/Placement.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/Placement.java
@@ -3,10 +3,10 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * Layers that an engine should hold. Immutable.
+ * Target layers of an engine. Immutable.
  *
  * @param engine the engine
- * @param layers all layers that it should hold, those it holds already among them
+ * @param layers all layers that it should hold, including those it already holds
  */
 public record Placement(Engine engine, LayerRange layers) {
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ReplicaCounts.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ReplicaCounts.java
@@ -6,34 +6,33 @@
 import java.util.TreeMap;
 
 /**
- * Remembers how often the layers of a model should be held, by the kinds of engines that
- * a failure domain has.
+ * Caches the number of replicas of a model by the kinds of engines in a failure domain.
  * <p>
- * The load it answers: the plan is made anew several times a second, and rating all ways
- * to divide 522 engines took 1.6 s each time on one core. Which kinds there are changes
- * only when engines come or go.
+ * Load pattern: the plan is computed several times per second, and rating all ways to
+ * divide 522 engines took 1.6 s each time on one core. The kinds present change only when
+ * engines join or leave.
  * <p>
- * Invariant: holds at most {@link #MOST_REMEMBERED} answers. Not safe for threads.
+ * Invariant: holds at most {@link #MAX_ENTRIES} entries. Not thread-safe.
  */
 public final class ReplicaCounts {
 
-	/** Nine failure domains, each with and without some engines, and room to spare. */
-	private static final int MOST_REMEMBERED = 256;
+	/** Nine failure domains, each with and without some engines, with a margin. */
+	private static final int MAX_ENTRIES = 256;
 
 	private final Map<Key, Integer> counts = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Key, Integer> eldest) {
-			return size() > MOST_REMEMBERED;
+			return size() > MAX_ENTRIES;
 		}
 
 	};
 
 	/**
-	 * How often each layer should be held.
+	 * Returns how often each layer should be held.
 	 * @param profile the model
-	 * @param engines a failure domain's engines that stay
-	 * @return how often; 0 where the model doesn't fit
+	 * @param engines the failure domain's engines that are not leaving
+	 * @return the number of replicas; 0 if the model does not fit
 	 */
 	int of(ModelProfile profile, List<Engine> engines) {
 		Map<String, Integer> engineCounts = new TreeMap<>();
@@ -43,10 +42,10 @@
 	}
 
 	/**
-	 * What an answer depends on.
+	 * Cache key.
 	 *
 	 * @param profile the model
-	 * @param engineCounts engines by kind
+	 * @param engineCounts the number of engines by kind
 	 */
 	private record Key(ModelProfile profile, Map<String, Integer> engineCounts) {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Pipelines whose engines forward to each other: how engines work, which of them hold
- * which layers, and which of them a request passes through. Decisions only.
+ * Pipelines whose engines forward to each other: the performance of engines, which of
+ * them hold which layers, and which of them a request passes through. Decisions only.
  */
 package io.whinjunction.chain;
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/LayerPlannerTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/LayerPlannerTests.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What is ordered at the start and after a loss.
+ * Orders at the start and after a loss.
  */
 class LayerPlannerTests {
 
@@ -26,14 +26,15 @@
 
 		assertThat(MixedCards.coverage(after)).containsOnly(1);
 		assertThat(after.stream().filter((engine) -> engine.held() == null)).hasSize(3);
-		assertThat(MixedCards.leastRoom(after)).isGreaterThan(100_000);
+		assertThat(MixedCards.minCapacity(after)).isGreaterThan(100_000);
 	}
 
-	// A large failure domain serves like a small one: of 300 engines 20 held two
-	// replicas, the rest stood empty, and any loss hit half of its streams. Most engines
-	// must work, in many replicas, and a part stays empty for losses.
+	// Guards against a large failure domain that serves no more than a small one: of
+	// 300 engines 20 held two replicas, the rest stayed empty, and any loss hit half
+	// of the streams. Most engines must serve, in many replicas, and some stay empty
+	// for losses.
 	@Test
-	void aLargeFailureDomainHoldsManyReplicasAndKeepsAPartEmpty() {
+	void aLargeFailureDomainHoldsManyReplicasAndKeepsSomeEnginesEmpty() {
 		List<Engine> engines = new ArrayList<>();
 		for (int index = 0; index < 20; index++) {
 			MixedCards.emptyDomain("a")
@@ -53,7 +54,7 @@
 	}
 
 	@Test
-	void theSamePlanIsMadeWhateverTheOrderOfEngines() {
+	void thePlanIsIndependentOfTheOrderOfEngines() {
 		List<Engine> engines = MixedCards.emptyDomain("a");
 		List<Engine> shuffled = new ArrayList<>(engines);
 		Collections.shuffle(shuffled, new Random(7));
@@ -62,23 +63,24 @@
 			.containsExactlyInAnyOrderElementsOf(LayerPlanner.plan(MixedCards.PROFILE, engines));
 	}
 
-	// The caller sees refusals and gaps of seconds for the rest of the day. The engine
-	// with 25 layers leaves; the first three empty engines took 11, 11 and 3 of them, so
-	// that the narrowest part of each path had room for 20 requests where it had 100
-	// before. The layers have to be divided so that the path stays about as wide.
+	// Guards against refusals and gaps of seconds for the rest of the day. The engine
+	// with 25 layers leaves, and the first three empty engines took 11, 11 and 3 of
+	// them, so that the tightest engine of each path had capacity for 20 requests
+	// instead of 100. The layers have to be divided so that the path keeps about its
+	// capacity.
 	@Test
-	void whenTheLargestEngineIsLostTheEmptyOnesShareItsLayersAndKeepRoom() {
+	void whenTheLargestEngineIsLostTheEmptyOnesShareItsLayersAndKeepCapacity() {
 		List<Engine> before = plan(MixedCards.emptyDomain("a"));
 		List<Engine> without = before.stream().filter((engine) -> !engine.id().equals("a-a")).toList();
 
 		List<Engine> after = plan(without);
 
 		assertThat(MixedCards.coverage(after)).containsOnly(1);
-		assertThat(MixedCards.leastRoom(after)).isGreaterThan(MixedCards.leastRoom(before) / 2);
+		assertThat(MixedCards.minCapacity(after)).isGreaterThan(MixedCards.minCapacity(before) / 2);
 	}
 
 	@Test
-	void aSmallHoleTakesOneEmptyEngine() {
+	void aSmallGapTakesOneEmptyEngine() {
 		List<Engine> before = plan(MixedCards.emptyDomain("a"));
 		Engine lost = before.stream().filter((engine) -> engine.id().equals("a-v3")).findFirst().orElseThrow();
 		List<Engine> without = before.stream().filter((engine) -> engine != lost).toList();
@@ -90,8 +92,8 @@
 		assertThat(orders.getFirst().engine().held()).isNull();
 	}
 
-	// Nobody notices more than a detour of a second: no engine is empty, so the two
-	// beside the hole load its layers while they serve their own.
+	// No engine is empty, so the two beside the gap load its layers while they serve
+	// their own: requests see no more than a detour of one second.
 	@Test
 	void withoutAnEmptyEngineTheNeighboursExtend() {
 		List<Engine> engines = List.of(MixedCards.holding("1", "a", MixedCards.A100, 0, 20),
@@ -113,18 +115,19 @@
 		assertThat(LayerPlanner.plan(MixedCards.PROFILE, leaving)).hasSize(1);
 	}
 
-	// Seventeen in a hundred are on time: 133 requests wait at an engine whose memory is
-	// full while engines beside it are empty. One of them takes a copy of a part of its
-	// layers, and one stays empty for the next loss.
+	// Guards against congestion in which 17 of 100 requests are on time: 133 requests
+	// wait at an engine whose memory is full while engines beside it are empty. One
+	// of them loads a copy of some of its layers, and one stays empty for the next
+	// loss.
 	@Test
-	void aCrowdedEngineIsHelpedByAnEmptyOneAndOneStaysEmpty() {
+	void aCongestedEngineIsRelievedByAnEmptyOneAndOneStaysEmpty() {
 		List<Engine> engines = plan(MixedCards.emptyDomain("a"));
 		int copies = 0;
 		List<Placement> orders = relieve(engines, 0.9);
 		while (!orders.isEmpty()) {
 			assertThat(orders).hasSize(1);
 			assertThat(orders.getFirst().layers().first()).isLessThan(25);
-			engines = MixedCards.placed(engines, orders);
+			engines = MixedCards.apply(engines, orders);
 			copies++;
 			orders = relieve(engines, 0.9);
 		}
@@ -134,9 +137,9 @@
 		assertThat(relieve(plan(MixedCards.emptyDomain("a")), 0.5)).isEmpty();
 	}
 
-	private static List<Placement> relieve(List<Engine> engines, double usedPart) {
+	private static List<Placement> relieve(List<Engine> engines, double usedRatio) {
 		return LayerPlanner.relieve(MixedCards.PROFILE, engines,
-				(engine) -> engine.id().equals("a-a") ? usedPart : 0.1);
+				(engine) -> engine.id().equals("a-a") ? usedRatio : 0.1);
 	}
 
 	@Test
@@ -145,7 +148,7 @@
 	}
 
 	@Test
-	void failureDomainsArePlannedEachForItself() {
+	void failureDomainsArePlannedIndependently() {
 		List<Engine> engines = Stream.concat(MixedCards.emptyDomain("a").stream(), MixedCards.emptyDomain("b").stream())
 			.toList();
 
@@ -153,8 +156,7 @@
 	}
 
 	@Property(tries = 60)
-	void noEngineIsOrderedToHoldMoreThanItsMemoryOrToGiveLayersUp(
-			@ForAll @IntRange(min = 0, max = 1 << 14) int losses) {
+	void noEngineIsOrderedToExceedItsMemoryOrToUnloadLayers(@ForAll @IntRange(min = 0, max = 1 << 14) int losses) {
 		List<Engine> engines = plan(MixedCards.emptyDomain("a"));
 		for (int bit = 0; bit < 14; bit++) {
 			if ((losses >> bit & 1) == 1) {
@@ -179,11 +181,11 @@
 				assertThat(order.layers().end()).isGreaterThanOrEqualTo(order.engine().held().end());
 			}
 		}
-		return MixedCards.placed(engines, orders);
+		return MixedCards.apply(engines, orders);
 	}
 
 	private static List<Engine> plan(List<Engine> engines) {
-		return MixedCards.placed(engines, LayerPlanner.plan(MixedCards.PROFILE, engines));
+		return MixedCards.apply(engines, LayerPlanner.plan(MixedCards.PROFILE, engines));
 	}
 
 }
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/MixedCards.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/MixedCards.java
@@ -7,8 +7,8 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * The mixed accelerators that tests of chains share: one large and fast kind, one small
- * and fast, one middling and slow, and a model that none of them holds alone.
+ * Fixture of the chain tests: one large and fast kind of accelerator, one small and fast,
+ * one of medium size and slow, and a model that does not fit on any single one.
  */
 final class MixedCards {
 
@@ -36,7 +36,9 @@
 		return new Engine(engine.id(), engine.address(), engine.failureDomain(), engine.kind(), held, leaving);
 	}
 
-	/** A failure domain with one a100, ten v100 and four l4, all of them empty. */
+	/**
+	 * Returns a failure domain with one a100, ten v100 and four l4, all of them empty.
+	 */
 	static List<Engine> emptyDomain(String domain) {
 		List<Engine> engines = new ArrayList<>();
 		engines.add(empty(domain + "-a", domain, A100));
@@ -49,8 +51,8 @@
 		return engines;
 	}
 
-	/** Carries placements out. */
-	static List<Engine> placed(List<Engine> engines, List<Placement> placements) {
+	/** Returns the engines after the placements have been carried out. */
+	static List<Engine> apply(List<Engine> engines, List<Placement> placements) {
 		List<Engine> after = new ArrayList<>();
 		for (Engine engine : engines) {
 			LayerRange held = placements.stream()
@@ -74,7 +76,7 @@
 		return coverage;
 	}
 
-	static long leastRoom(List<Engine> engines) {
+	static long minCapacity(List<Engine> engines) {
 		return engines.stream()
 			.filter((engine) -> engine.held() != null)
 			.mapToLong((engine) -> PROFILE.kvCapacityTokens(engine.kind(), engine.heldLayers()))
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/PathCostsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/PathCostsTests.java
@@ -10,19 +10,20 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which engines requests go through as their load changes.
+ * Which engines requests pass through as load changes.
  */
 class PathCostsTests {
 
-	// Fifty drafts of a lost path begin anew at the same moment. All of them chose the
-	// fastest failure domain, whose largest engine reads one prompt in 4.7 ms, and the
-	// last of them stood still for a quarter of a second. They have to share the others.
+	// Guards against streams that stall for a quarter of a second: fifty drafts of a
+	// lost path restart at the same moment and all choose the fastest failure domain,
+	// whose largest engine processes one prompt in 4.7 ms. They have to be
+	// distributed over the other domains as well.
 	@Test
-	void promptsThatComeAtOnceAreSharedOverFailureDomains() {
+	void promptsThatArriveAtOnceAreDistributedOverFailureDomains() {
 		List<Engine> engines = new ArrayList<>();
 		for (String domain : List.of("a", "b", "c")) {
 			List<Engine> empty = MixedCards.emptyDomain(domain);
-			engines.addAll(MixedCards.placed(empty, LayerPlanner.plan(MixedCards.PROFILE, empty)));
+			engines.addAll(MixedCards.apply(empty, LayerPlanner.plan(MixedCards.PROFILE, empty)));
 		}
 		engines.removeIf((engine) -> engine.held() == null);
 
@@ -44,24 +45,24 @@
 	}
 
 	private static Map<String, Integer> sendAtOnce(List<Engine> engines, int requests) {
-		Map<String, Double> unread = new HashMap<>();
+		Map<String, Double> pending = new HashMap<>();
 		Map<String, Integer> byDomain = new HashMap<>();
 		for (int request = 0; request < requests; request++) {
 			List<PathFinder.Candidate> candidates = engines.stream()
 				.map((engine) -> PathCosts.rate(MixedCards.PROFILE, engine,
-						new PathCosts.Load(0.2, unread.getOrDefault(engine.id(), 0.0), 1, false), 991))
+						new PathCosts.Load(0.2, pending.getOrDefault(engine.id(), 0.0), 1, false), 991))
 				.toList();
 			List<Hop> path = PathFinder
 				.find(MixedCards.PROFILE, candidates, PathFinder.Start.whole("a", (engine) -> true))
 				.orElseThrow();
-			path.forEach((hop) -> unread.merge(hop.engine().id(), 775.0, Double::sum));
+			path.forEach((hop) -> pending.merge(hop.engine().id(), 775.0, Double::sum));
 			byDomain.merge(path.getFirst().engine().failureDomain(), 1, Integer::sum);
 		}
 		return byDomain;
 	}
 
-	private static PathCosts.Load load(double pace) {
-		return new PathCosts.Load(0.2, 0, pace, false);
+	private static PathCosts.Load load(double slowdown) {
+		return new PathCosts.Load(0.2, 0, slowdown, false);
 	}
 
 }
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/PathFinderTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/PathFinderTests.java
@@ -21,7 +21,7 @@
 	private static final ModelProfile PROFILE = MixedCards.PROFILE;
 
 	@Test
-	void aPathStaysAtHomeWhereHomeIsWhole() {
+	void aPathStaysInACompleteHomeDomain() {
 		List<PathFinder.Candidate> engines = candidates(MixedCards.holding("a1", "a", MixedCards.A100, 0, 40),
 				MixedCards.holding("a2", "a", MixedCards.A100, 40, 80),
 				MixedCards.holding("b1", "b", MixedCards.A100, 0, 80));
@@ -29,11 +29,12 @@
 		assertThat(ids(find(engines, "a"))).containsExactly("a1", "a2");
 	}
 
-	// Events come 450 ms apart. A hole at home sent each request's activations to another
-	// failure domain and back, and the pipe between them carried a third of what they
-	// were. A request that goes there as a whole sends only its text.
+	// Guards against events 450 ms apart: a layer gap in the home domain sent each
+	// request's activations to another failure domain and back, and the shared
+	// bandwidth carried a third of the load. A request that runs entirely in the
+	// other domain sends only its text.
 	@Test
-	void aPathWithAHoleAtHomeLiesElsewhereAsAWhole() {
+	void aLayerGapInTheHomeDomainMovesTheWholePathElsewhere() {
 		List<PathFinder.Candidate> engines = candidates(MixedCards.holding("a1", "a", MixedCards.A100, 0, 40),
 				MixedCards.holding("a3", "a", MixedCards.A100, 44, 80),
 				MixedCards.holding("b1", "b", MixedCards.A100, 0, 44),
@@ -43,7 +44,7 @@
 	}
 
 	@Test
-	void whereNoFailureDomainIsWholeThePathChangesBetweenThem() {
+	void aPathCrossesFailureDomainsIfNoneIsComplete() {
 		List<PathFinder.Candidate> engines = candidates(MixedCards.holding("a1", "a", MixedCards.A100, 0, 30),
 				MixedCards.holding("b2", "b", MixedCards.A100, 20, 80));
 
@@ -63,7 +64,7 @@
 	}
 
 	@Test
-	void aRestOfAPathBeginsWhereTheFirstHopEnds() {
+	void aRemainingPathBeginsWhereTheFirstHopEnds() {
 		Engine first = MixedCards.holding("a1", "a", MixedCards.A100, 0, 40);
 		List<PathFinder.Candidate> engines = candidates(MixedCards.holding("b1", "b", MixedCards.A100, 0, 80),
 				MixedCards.holding("a2", "a", MixedCards.A100, 30, 80));
@@ -77,7 +78,7 @@
 	}
 
 	@Test
-	void aPathBeginsOnlyWhereItMay() {
+	void aPathBeginsOnlyAtAPermittedEngine() {
 		List<PathFinder.Candidate> engines = candidates(MixedCards.holding("a1", "a", MixedCards.A100, 0, 80),
 				MixedCards.holding("b1", "b", MixedCards.A100, 0, 80));
 
@@ -88,12 +89,12 @@
 	}
 
 	@Test
-	void withoutAHolderOfALayerThereIsNoPath() {
+	void aLayerWithoutHolderMeansNoPath() {
 		assertThat(find(candidates(MixedCards.holding("a1", "a", MixedCards.A100, 0, 79)), "a")).isEmpty();
 	}
 
 	@Property(tries = 300)
-	void eachLayerIsRunOnceAndInOrderAndNoEngineTwice(@ForAll long seed) {
+	void eachLayerRunsOnceInOrderAndNoEngineOccursTwice(@ForAll long seed) {
 		Random random = new Random(seed);
 		List<PathFinder.Candidate> engines = new ArrayList<>();
 		for (int index = 0; index < 40; index++) {
