--- a/whinjunction-core/src/main/java/io/whinjunction/place/PlaceRules.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/place/PlaceRules.java
@@ -11,8 +11,8 @@
 /**
  * Decides where a team's data may be.
  * <p>
- * Invariant: what is not expressly permitted is refused; an unknown failure domain and a
- * team without places permit nothing. Immutable, safe for all threads.
+ * Invariant: anything not explicitly permitted is refused; an unknown failure domain and
+ * a team without places permit nothing. Immutable and thread-safe.
  */
 public final class PlaceRules {
 
@@ -27,20 +27,20 @@
 	}
 
 	/**
-	 * Whether a team's data may be in a failure domain.
+	 * Returns whether a team's data may be in a failure domain.
 	 * @param team the team
-	 * @param failureDomain where the data would be
-	 * @return {@code true} only where a rule says so
+	 * @param failureDomain the location of the data
+	 * @return {@code true} only if a rule permits it
 	 */
 	public boolean permits(Team team, String failureDomain) {
 		return permits(team.places(), failureDomain);
 	}
 
 	/**
-	 * Whether one of some places holds a failure domain.
+	 * Returns whether one of the permitted places contains a failure domain.
 	 * @param places the permitted places
-	 * @param failureDomain where the data would be
-	 * @return {@code true} only where a rule says so
+	 * @param failureDomain the location of the data
+	 * @return {@code true} only if a rule permits it
 	 */
 	public boolean permits(Set<String> places, String failureDomain) {
 		String place = this.placeByFailureDomain.get(failureDomain);
--- a/whinjunction-core/src/main/java/io/whinjunction/routing/CallerLimits.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/routing/CallerLimits.java
@@ -1,7 +1,7 @@
 package io.whinjunction.routing;
 
 /**
- * What a caller may send and how long it may take. Immutable.
+ * Limits on what a caller may send and how long it may take. Immutable.
  *
  * @param maxHeaderBytes the largest request head, in bytes
  * @param maxBodyBytes the largest request body, in bytes
@@ -10,7 +10,7 @@
  */
 public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
 
-	/** What holds before a configuration is known: the usual sizes of HTTP servers. */
+	/** Limits until a configuration is loaded: the usual sizes of HTTP servers. */
 	public static final CallerLimits DEFAULT = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/routing/RequestKind.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/routing/RequestKind.java
@@ -1,13 +1,11 @@
 package io.whinjunction.routing;
 
 /**
- * What may be repeated of a route's requests. Immutable.
+ * Determines whether a route's requests may be repeated. Immutable.
  */
 public enum RequestKind {
 
-	/**
-	 * An event stream; it may be repeated only where its route says it can be resumed.
-	 */
+	/** An event stream; it may be repeated only if its route is resumable. */
 	STREAMING,
 
 	/** May run more than once. */
--- a/whinjunction-core/src/main/java/io/whinjunction/routing/Route.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/routing/Route.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * Requests of one host below one path, and how they are treated. Immutable.
+ * Requests of one host below one path, and how they are handled. Immutable.
  *
- * @param name the route's name
- * @param host the {@code Host} header it answers to
- * @param pathPrefix begins and ends with a slash
- * @param kind what may be repeated
+ * @param name the name of the route
+ * @param host the {@code Host} header that it matches
+ * @param pathPrefix the path prefix, which begins and ends with a slash
+ * @param kind determines whether requests may be repeated
  * @param split the services and their weights; never empty
- * @param limits times and counts
+ * @param limits the time and count limits
  * @param anonymous whether requests need no key
- * @param resumable whether a broken stream may go on at another upstream
+ * @param resumable whether an interrupted stream may resume at another upstream
  */
 public record Route(String name, String host, String pathPrefix, RequestKind kind, List<WeightedService> split,
 		RouteLimits limits, boolean anonymous, boolean resumable) {
 
 	/**
-	 * Whether a request may run again after it may have run.
-	 * @return {@code true} for idempotent requests and streams that can be resumed
+	 * Returns whether a request may run again after it may have run.
+	 * @return {@code true} for idempotent requests and resumable streams
 	 */
 	public boolean repeatable() {
 		return switch (this.kind) {
@@ -30,17 +30,17 @@
 	}
 
 	/**
-	 * The service for a request.
-	 * @param hash a hash of the request, so that its retries keep the service
-	 * @return the service's name
+	 * Selects the service of a request by weight.
+	 * @param hash a hash of the request, so that its retries go to the same service
+	 * @return the name of the service
 	 */
 	public String serviceFor(int hash) {
 		int total = this.split.stream().mapToInt(WeightedService::weight).sum();
 		int point = (total > 0) ? Math.floorMod(hash, total) : 0;
-		for (WeightedService part : this.split) {
-			point -= part.weight();
+		for (WeightedService weighted : this.split) {
+			point -= weighted.weight();
 			if (point < 0) {
-				return part.service();
+				return weighted.service();
 			}
 		}
 		return this.split.getFirst().service();
--- a/whinjunction-core/src/main/java/io/whinjunction/routing/RoutedService.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/routing/RoutedService.java
@@ -7,13 +7,14 @@
  *
  * @param name its name
  * @param healthPath the path of its health check
- * @param maxConnections the most connections an upstream takes from all routers together
- * @param model how its engines work, or {@code null} for a plain service
+ * @param maxConnections the maximum number of connections that an upstream accepts from
+ * all routers together
+ * @param model the model that its engines run, or {@code null} for a plain service
  */
 public record RoutedService(String name, String healthPath, int maxConnections, ModelProfile model) {
 
 	/**
-	 * Whether requests run on chains of engines.
+	 * Returns whether requests run on chains of engines.
 	 * @return {@code false} for a plain service
 	 */
 	public boolean chained() {
--- a/whinjunction-core/src/main/java/io/whinjunction/routing/RoutingConfiguration.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/routing/RoutingConfiguration.java
@@ -7,10 +7,9 @@
 import java.util.Map;
 
 /**
- * One version of what operators want: the single model that everything reads.
+ * One version of the routing configuration: the single model that all components read.
  * <p>
- * Invariant: the indexes are built from the lists once and nothing changes afterwards, so
- * it is safe for all threads.
+ * Immutable and thread-safe: the indexes are built from the lists once and never change.
  */
 public final class RoutingConfiguration {
 
@@ -27,12 +26,12 @@
 	private final Map<String, RoutedTeam> teamsByKey = new HashMap<>();
 
 	/**
-	 * A version.
-	 * @param version its number; versions only go up
+	 * Creates a version.
+	 * @param version the version number; versions only increase
 	 * @param routes all routes
 	 * @param services all services
-	 * @param limits what callers may send
-	 * @param teams all teams; where there are none, no request needs a key
+	 * @param limits the limits on what callers may send
+	 * @param teams all teams; if there are none, no request needs a key
 	 */
 	public RoutingConfiguration(long version, List<Route> routes, List<RoutedService> services, CallerLimits limits,
 			List<RoutedTeam> teams) {
@@ -50,15 +49,15 @@
 	}
 
 	/**
-	 * The version.
-	 * @return its number
+	 * Returns the version number.
+	 * @return the number
 	 */
 	public long version() {
 		return this.version;
 	}
 
 	/**
-	 * What callers may send.
+	 * Returns the limits on what callers may send.
 	 * @return the limits
 	 */
 	public CallerLimits limits() {
@@ -66,15 +65,15 @@
 	}
 
 	/**
-	 * Whether requests on routes that are not anonymous need a key.
-	 * @return {@code true} where there are teams
+	 * Returns whether requests on routes that are not anonymous need a key.
+	 * @return {@code true} if there are teams
 	 */
 	public boolean keysRequired() {
 		return this.keysRequired;
 	}
 
 	/**
-	 * The route with the longest prefix that begins the path.
+	 * Returns the route with the longest prefix of the path.
 	 * @param host the {@code Host} header
 	 * @param path the path with or without a query
 	 * @return the route, or {@code null}
@@ -89,7 +88,7 @@
 	}
 
 	/**
-	 * A service by name.
+	 * Returns a service by name.
 	 * @param name the name
 	 * @return the service, or {@code null}
 	 */
@@ -98,7 +97,7 @@
 	}
 
 	/**
-	 * All services.
+	 * Returns all services.
 	 * @return the services
 	 */
 	public Iterable<RoutedService> services() {
@@ -106,7 +105,7 @@
 	}
 
 	/**
-	 * The team that holds a key.
+	 * Returns the team that owns a key.
 	 * @param key the key
 	 * @return the team, or {@code null}
 	 */
--- a/whinjunction-core/src/main/java/io/whinjunction/routing/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Routes by host and path, the services behind them, and the teams' keys: the model that
- * a routing process reads, built once for each version and then immutable.
+ * Routes by host and path, the services behind them, and the keys of teams: the model
+ * that a router reads, built once per version and immutable afterwards.
  */
 package io.whinjunction.routing;
--- a/whinjunction-core/src/test/java/io/whinjunction/place/PlaceRulesTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/place/PlaceRulesTests.java
@@ -37,9 +37,10 @@
 		assertThat(rules.permits(Set.of("poa"), "poa-a")).isFalse();
 	}
 
-	// Random places, teams and engines, of which some have failed, are paused, leave or
-	// stand in a failure domain that no place names. Whatever is left, a team's data must
-	// go to its permitted places only, or the request is refused.
+	// Random places, teams and engines, some of which have failed, are in backoff,
+	// are leaving or lie in a failure domain that belongs to no place. Whichever
+	// remain, a team's data must go to its permitted places only, or the request is
+	// refused.
 	@Property(seed = "61", tries = 1000)
 	void noFailureEverMovesDataToAPlaceThatIsNotAllowed(@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
 		Random random = new Random(seed);
@@ -54,7 +55,7 @@
 				places.keySet().stream().filter((place) -> random.nextBoolean()).collect(Collectors.toSet()), 1, 1);
 		UpstreamTable table = new UpstreamTable();
 		table.replace(upstreams(model, random));
-		table.all().keySet().forEach((id) -> disturb(table, id, random));
+		table.all().keySet().forEach((id) -> applyRandomFault(table, id, random));
 		PlaceRules rules = new PlaceRules(configuration);
 		PipelineChooser chooser = new PipelineChooser(table, policy(random), Ticker.system(), random);
 		if (chooser.pipeline(model, new Placement(team, rules), Set.of("u1")) instanceof Choice.Chosen chosen) {
@@ -77,7 +78,7 @@
 		return upstreams;
 	}
 
-	private static void disturb(UpstreamTable table, String id, Random random) {
+	private static void applyRandomFault(UpstreamTable table, String id, Random random) {
 		switch (random.nextInt(4)) {
 			case 0 -> table.load(id).failed(Ticker.system().nowMs());
 			case 1 -> table.load(id).start();
--- a/whinjunction-core/src/test/java/io/whinjunction/routing/RoutingConfigurationTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/routing/RoutingConfigurationTests.java
@@ -26,7 +26,7 @@
 	}
 
 	@Test
-	void requestsAreSplitByWeightAndOneRequestKeepsItsService() {
+	void requestsAreSplitByWeightAndARequestAlwaysGetsTheSameService() {
 		Route route = new Route("r", "a", "/", RequestKind.IDEMPOTENT,
 				List.of(new WeightedService("big", 90), new WeightedService("small", 10)), LIMITS, false, false);
 
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void aKeyBelongsToItsTeamAndOthersToNobody() {
+	void aKeyBelongsToItsTeamAndUnknownKeysToNone() {
 		RoutingConfiguration configuration = configuration(route("r", "a", "/"));
 
 		assertThat(configuration.teamOf("k1").name()).isEqualTo("agency");
