--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/ChoicePolicy.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/ChoicePolicy.java
@@ -5,13 +5,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How one upstream is chosen from several that may do the work. Each entry decides alone.
- * Implementations are safe for all threads.
+ * Policy for choosing one upstream from several suitable ones. Each entry decides
+ * independently. Implementations are thread-safe.
  */
 public sealed interface ChoicePolicy {
 
 	/**
-	 * The policy of the product; docs/DESIGN.md gives the figures that speak for it.
+	 * Returns the default policy; docs/DESIGN.md has the figures behind it.
 	 * @return a policy without state of its own
 	 */
 	static ChoicePolicy standard() {
@@ -19,16 +19,17 @@
 	}
 
 	/**
-	 * Chooses.
+	 * Chooses an upstream.
 	 * @param candidates at least one upstream
 	 * @param table this entry's observations
-	 * @param random the source of chance
+	 * @param random the source of randomness
 	 * @return one of the candidates
 	 */
 	default Upstream choose(List<Upstream> candidates, UpstreamTable table, RandomGenerator random) {
 		return switch (this) {
 			case Uniform ignored -> candidates.get(random.nextInt(candidates.size()));
-			case RoundRobin turn -> candidates.get(Math.floorMod(turn.next.getAndIncrement(), candidates.size()));
+			case RoundRobin roundRobin ->
+				candidates.get(Math.floorMod(roundRobin.next.getAndIncrement(), candidates.size()));
 			case LeastInFlight ignored -> leastInFlight(candidates, table, random);
 			case LeastExpectedDelay policy -> policy.leastDelay(candidates, table, random);
 		};
@@ -49,36 +50,33 @@
 		return best;
 	}
 
-	/**
-	 * Any of them, by chance.
-	 */
+	/** Chooses a candidate uniformly at random. */
 	record Uniform() implements ChoicePolicy {
 	}
 
 	/**
-	 * One after the other.
+	 * Chooses the candidates in roundRobin.
 	 *
 	 * @param next the counter
 	 */
 	record RoundRobin(AtomicInteger next) implements ChoicePolicy {
 	}
 
-	/**
-	 * The one with the least work of this entry.
-	 */
+	/** Chooses the candidate with the least work in flight from this entry. */
 	record LeastInFlight() implements ChoicePolicy {
 	}
 
 	/**
-	 * The one expected to be done first. The expected delay is the work that stands in
-	 * front, counted as this entry's own in-flight work times the number of entries plus
-	 * one, over the upstream's rate, with the measured step time as a floor. Load reports
-	 * lag, so they only raise the estimate, weighted down.
+	 * Chooses the candidate with the least expected delay. The expected delay is the
+	 * queued work, estimated as this entry's own in-flight work times the number of
+	 * entries plus one, divided by the upstream's rate, with the measured step time as a
+	 * lower bound. Load reports lag, so they only raise the estimate, and with a reduced
+	 * weight.
 	 *
-	 * @param entryCount how many entries decide at the same time
-	 * @param choices how many candidates are compared, drawn by chance; all where it is
+	 * @param entryCount the number of entries that decide at the same time
+	 * @param choices the number of candidates sampleSize, drawn at random; all if it is
 	 * at least their number
-	 * @param reportWeight how much the lagging report counts, from 0 to 1
+	 * @param reportWeight the weight of the lagging report, from 0 to 1
 	 */
 	record LeastExpectedDelay(int entryCount, int choices, double reportWeight) implements ChoicePolicy {
 
@@ -86,12 +84,12 @@
 
 		private Upstream leastDelay(List<Upstream> candidates, UpstreamTable table, RandomGenerator random) {
 			int size = candidates.size();
-			int compared = Math.min(this.choices, size);
+			int sampleSize = Math.min(this.choices, size);
 			int offset = random.nextInt(size);
-			int stride = (compared < size) ? 1 + random.nextInt(size - 1) : 1;
+			int stride = (sampleSize < size) ? 1 + random.nextInt(size - 1) : 1;
 			Upstream best = null;
 			double least = Double.MAX_VALUE;
-			for (int i = 0; i < compared; i++) {
+			for (int i = 0; i < sampleSize; i++) {
 				Upstream candidate = candidates.get((int) ((offset + (long) i * stride) % size));
 				double delayMs = expectedDelayMs(candidate, table.load(candidate.id()));
 				if (delayMs < least) {
@@ -105,9 +103,9 @@
 		double expectedDelayMs(Upstream upstream, UpstreamLoad load) {
 			double rate = (upstream.tokensPerSecond() > 0) ? upstream.tokensPerSecond() : UNKNOWN_RATE;
 			double own = load.inFlight();
-			double inFront = own * this.entryCount;
-			double reported = Math.max(inFront, upstream.reportedRunning());
-			double expected = inFront + this.reportWeight * (reported - inFront);
+			double queued = own * this.entryCount;
+			double reported = Math.max(queued, upstream.reportedRunning());
+			double expected = queued + this.reportWeight * (reported - queued);
 			return Math.max((expected + 1) * 1000 / rate, load.smoothedMs() * (1 + own));
 		}
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/Pipeline.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/Pipeline.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * One upstream for each layer range, in order. Immutable.
+ * One upstream per layer range, in order. Immutable.
  *
  * @param stages the upstreams, first layers first
  */
--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/PipelineChooser.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/PipelineChooser.java
@@ -14,17 +14,17 @@
 /**
  * Chooses the upstreams of a request.
  * <p>
- * Invariant: whatever else is preferred, no upstream outside the team's permitted places
- * is ever chosen. Safe for all threads where the random source is.
+ * Invariant: no upstream outside the team's permitted places is ever chosen, whatever
+ * other preferences apply. Thread-safe if the random source is.
  */
 public final class PipelineChooser {
 
 	/**
-	 * Beyond this many holders of a range some are drawn by chance and compared, so that
-	 * a decision costs the same however large the fleet; docs/DESIGN.md gives the
-	 * figures.
+	 * If more upstreams than this hold a range, this many are drawn at random and
+	 * compared, so that the cost of a decision does not depend on the size of the fleet;
+	 * docs/DESIGN.md has the figures.
 	 */
-	private static final int SAMPLE = 16;
+	private static final int SAMPLE_SIZE = 16;
 
 	private final UpstreamTable table;
 
@@ -46,12 +46,13 @@
 	 * @param model the model
 	 * @param placement where the data may be
 	 * @param avoided instances that already failed this request
-	 * @return a pipeline, or why there is none
+	 * @return a pipeline, or the reason why there is none
 	 */
 	public Choice pipeline(Service.Model model, Placement placement, Set<String> avoided) {
 		List<Upstream> stages = new ArrayList<>(model.ranges().size());
 		for (LayerRange range : model.ranges()) {
-			Choice choice = one(this.table.byFailureDomain(model.name(), range), placement, avoided, "layers " + range);
+			Choice choice = chooseOne(this.table.byFailureDomain(model.name(), range), placement, avoided,
+					"layers " + range);
 			if (!(choice instanceof Choice.Chosen chosen)) {
 				return choice;
 			}
@@ -65,13 +66,15 @@
 	 * @param service the service
 	 * @param placement where the data may be
 	 * @param avoided instances that already failed this request
-	 * @return a pipeline of one stage, or why there is none
+	 * @return a pipeline of one stage, or the reason why there is none
 	 */
 	public Choice plain(Service.Plain service, Placement placement, Set<String> avoided) {
-		return one(this.table.byFailureDomain(service.name(), null), placement, avoided, "service " + service.name());
+		return chooseOne(this.table.byFailureDomain(service.name(), null), placement, avoided,
+				"service " + service.name());
 	}
 
-	private Choice one(Map<String, List<Upstream>> holders, Placement placement, Set<String> avoided, String what) {
+	private Choice chooseOne(Map<String, List<Upstream>> holders, Placement placement, Set<String> avoided,
+			String what) {
 		List<List<Upstream>> permitted = new ArrayList<>(holders.size());
 		int count = 0;
 		for (Map.Entry<String, List<Upstream>> domain : holders.entrySet()) {
@@ -84,7 +87,7 @@
 			return holders.isEmpty() ? new Choice.NoneAlive(what) : new Choice.NonePermitted(what);
 		}
 		List<Upstream> usable = usable(sample(permitted, count), avoided);
-		if (usable.isEmpty() && count > SAMPLE) {
+		if (usable.isEmpty() && count > SAMPLE_SIZE) {
 			usable = usable(all(permitted), avoided);
 		}
 		if (usable.isEmpty()) {
@@ -94,11 +97,11 @@
 	}
 
 	private List<Upstream> sample(List<List<Upstream>> permitted, int count) {
-		if (count <= SAMPLE) {
+		if (count <= SAMPLE_SIZE) {
 			return all(permitted);
 		}
-		List<Upstream> sample = new ArrayList<>(SAMPLE);
-		for (int i = 0; i < SAMPLE; i++) {
+		List<Upstream> sample = new ArrayList<>(SAMPLE_SIZE);
+		for (int i = 0; i < SAMPLE_SIZE; i++) {
 			int index = this.random.nextInt(count);
 			int group = 0;
 			while (index >= permitted.get(group).size()) {
@@ -131,17 +134,15 @@
 				usable.add(upstream);
 			}
 		}
-		// With nothing else left a paused upstream is better than a refusal.
+		// If nothing else is left, an upstream in backoff is better than a refusal.
 		return usable.isEmpty() ? paused : usable;
 	}
 
-	/**
-	 * The result of choosing.
-	 */
+	/** Result of choosing. */
 	public sealed interface Choice {
 
 		/**
-		 * A pipeline.
+		 * A pipeline was found.
 		 *
 		 * @param pipeline the pipeline
 		 */
@@ -149,17 +150,17 @@
 		}
 
 		/**
-		 * Upstreams exist, none where the team's data may be.
+		 * Upstreams exist, but none where the team's data may be.
 		 *
-		 * @param what what is missing
+		 * @param what the missing layers or service
 		 */
 		record NonePermitted(String what) implements Choice {
 		}
 
 		/**
-		 * No permitted upstream is alive now.
+		 * No permitted upstream is alive.
 		 *
-		 * @param what what is missing
+		 * @param what the missing layers or service
 		 */
 		record NoneAlive(String what) implements Choice {
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/Upstream.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/Upstream.java
@@ -3,17 +3,17 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * What this entry knows of one upstream. Immutable.
+ * Last known state of one upstream at this entry. Immutable.
  *
  * @param id the instance
  * @param service the service it belongs to
  * @param address {@code HOST:PORT}
- * @param failureDomain where it is
+ * @param failureDomain its failure domain
  * @param range the layers it holds; {@code null} for a spare or a plain service
  * @param generation the engine generation; 0 for a plain service
- * @param tokensPerSecond its rate; 0 where it is unknown
- * @param reportedRunning steps it had when it last reported
- * @param leaving whether any source says that it goes
+ * @param tokensPerSecond its rate; 0 if unknown
+ * @param reportedRunning the number of running steps in its last report
+ * @param leaving whether any source reports it as leaving
  */
 public record Upstream(String id, String service, String address, String failureDomain, LayerRange range,
 		long generation, double tokensPerSecond, int reportedRunning, boolean leaving) {
--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/UpstreamLoad.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/UpstreamLoad.java
@@ -4,17 +4,19 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * This entry's own, never lagging, observations of one upstream.
+ * This entry's own observations of one upstream, which do not lag.
  * <p>
- * Invariant: {@link #inFlight()} equals the starts without an end. Safe for all threads;
- * the smoothed time may lose an update under a race, which only delays it.
+ * Invariant: {@link #inFlight()} equals the number of starts without an end. Thread-safe;
+ * the smoothed time may lose an update in a race, which only delays it.
  */
 public final class UpstreamLoad {
 
 	private static final double SMOOTHING = 0.1;
 
-	/** First pause after a failure; doubles with each further one up to the limit. */
-	private static final long FIRST_PAUSE_MS = 500;
+	/**
+	 * Backoff after the first failure; doubles with each further one up to the limit.
+	 */
+	private static final long FIRST_BACKOFF_MS = 500;
 
 	private static final int MAX_DOUBLINGS = 5;
 
@@ -22,69 +24,65 @@
 
 	private final AtomicInteger failuresInRow = new AtomicInteger();
 
-	private final AtomicLong pausedUntilMs = new AtomicLong(Long.MIN_VALUE);
+	private final AtomicLong backoffUntilMs = new AtomicLong(Long.MIN_VALUE);
 
 	private volatile double smoothedMs;
 
-	private volatile boolean pausedOnce;
+	private volatile boolean hasFailed;
 
-	/**
-	 * A piece of work starts.
-	 */
+	/** Records that a unit of work starts. */
 	public void start() {
 		this.inFlight.incrementAndGet();
 	}
 
-	/**
-	 * A piece of work ends, well or not.
-	 */
+	/** Records that a unit of work ends, successfully or not. */
 	public void end() {
 		this.inFlight.decrementAndGet();
 	}
 
 	/**
-	 * Work that this entry has on the upstream.
-	 * @return the number of started, unfinished pieces
+	 * Returns the work of this entry on the upstream.
+	 * @return the number of started, unfinished units
 	 */
 	public int inFlight() {
 		return this.inFlight.get();
 	}
 
 	/**
-	 * A step came back.
-	 * @param durationMs how long it took, in milliseconds
+	 * Records a successful step.
+	 * @param durationMs its duration, in milliseconds
 	 */
 	public void succeeded(double durationMs) {
 		double old = this.smoothedMs;
 		this.smoothedMs = (old != 0) ? old + SMOOTHING * (durationMs - old) : durationMs;
-		if (this.pausedOnce) {
+		if (this.hasFailed) {
 			this.failuresInRow.set(0);
-			this.pausedOnce = false;
+			this.hasFailed = false;
 		}
 	}
 
 	/**
-	 * A step failed: the upstream gets no new work for a while, then a single try
-	 * decides.
-	 * @param nowMs the time
+	 * Records a failed step: the upstream gets no new work during the backoff, then a
+	 * single attempt decides.
+	 * @param nowMs the current time
 	 */
 	public void failed(long nowMs) {
 		int failures = this.failuresInRow.getAndIncrement();
-		this.pausedOnce = true;
-		this.pausedUntilMs.set(nowMs + (FIRST_PAUSE_MS << Math.min(failures, MAX_DOUBLINGS)));
+		this.hasFailed = true;
+		this.backoffUntilMs.set(nowMs + (FIRST_BACKOFF_MS << Math.min(failures, MAX_DOUBLINGS)));
 	}
 
 	/**
-	 * Whether a recent failure keeps new work away.
-	 * @param nowMs the time
-	 * @return {@code true} during the pause
+	 * Returns whether the upstream is in backoff after a failure.
+	 * @param nowMs the current time
+	 * @return {@code true} during the backoff
 	 */
 	public boolean paused(long nowMs) {
-		return this.pausedOnce && nowMs < this.pausedUntilMs.get();
+		return this.hasFailed && nowMs < this.backoffUntilMs.get();
 	}
 
 	/**
-	 * The smoothed time of a step.
+	 * Returns the smoothed duration of a step.
 	 * @return milliseconds; 0 before the first
 	 */
 	public double smoothedMs() {
--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/UpstreamTable.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/UpstreamTable.java
@@ -9,27 +9,29 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * The upstreams that this entry knows, by service and layer range.
+ * The upstreams known to this entry, by service and layer range.
  * <p>
- * Invariant: an upstream once seen leaving, from whichever source first, takes no new
- * work until it comes back with a new instance id: the lagging sources cannot turn it
- * back. Readers see one immutable snapshot; safe for all threads.
+ * Invariant: an upstream that any source has reported as leaving takes no new work until
+ * it returns with a new instance id; lagging sources cannot revert that. Readers see one
+ * immutable snapshot; thread-safe.
  */
 public final class UpstreamTable {
 
-	/** A lagging list may show a gone instance again, but not after so many lists. */
+	/**
+	 * A lagging list may contain an instance that is gone, but not after this many lists.
+	 */
 	private static final int FORGET_AFTER_LISTS = 600;
 
 	private final Map<String, UpstreamLoad> loads = new ConcurrentHashMap<>();
 
-	/** Instances that leave, with for how many lists they have been gone. */
+	/** Leaving instances with the number of lists in which they have been missing. */
 	private final Map<String, Integer> leaving = new ConcurrentHashMap<>();
 
 	private volatile Snapshot snapshot = new Snapshot(Map.of(), Map.of());
 
 	/**
-	 * Replaces what is known.
-	 * @param upstreams all upstreams of the newest instance list, with their own reports
+	 * Replaces the table.
+	 * @param upstreams all upstreams of the latest instance list, with their own reports
 	 */
 	public synchronized void replace(List<Upstream> upstreams) {
 		Map<String, Upstream> byId = new HashMap<>();
@@ -46,20 +48,20 @@
 	}
 
 	/**
-	 * Takes somebody's word that an upstream goes.
+	 * Marks an upstream as leaving, as reported by any source.
 	 * @param id the instance
-	 * @return whether that was news
+	 * @return whether it was not marked before
 	 */
 	public synchronized boolean markLeaving(String id) {
-		boolean news = this.leaving.putIfAbsent(id, 0) == null;
-		if (news) {
+		boolean added = this.leaving.putIfAbsent(id, 0) == null;
+		if (added) {
 			publish(this.snapshot.byId());
 		}
-		return news;
+		return added;
 	}
 
 	/**
-	 * The instances known to leave.
+	 * Returns the instances known to be leaving.
 	 * @return their ids
 	 */
 	public List<String> leavingIds() {
@@ -67,7 +69,7 @@
 	}
 
 	/**
-	 * All upstreams.
+	 * Returns all upstreams.
 	 * @return an immutable view
 	 */
 	public Map<String, Upstream> all() {
@@ -75,7 +77,7 @@
 	}
 
 	/**
-	 * Upstreams of a model that hold a range and are not leaving.
+	 * Returns the upstreams of a model that hold a range and are not leaving.
 	 * @param service the model
 	 * @param range the layers
 	 * @return an immutable list
@@ -85,7 +87,7 @@
 	}
 
 	/**
-	 * Upstreams that hold a range and are not leaving, by failure domain.
+	 * Returns the upstreams that hold a range and are not leaving, by failure domain.
 	 * @param service the model, or a plain service
 	 * @param range the layers; {@code null} for a plain service
 	 * @return an immutable map
@@ -95,9 +97,9 @@
 	}
 
 	/**
-	 * This entry's own observations of an upstream.
+	 * Returns this entry's own observations of an upstream.
 	 * @param id the instance
-	 * @return its load, made on first use
+	 * @return its load, created on first use
 	 */
 	public UpstreamLoad load(String id) {
 		return this.loads.computeIfAbsent(id, (key) -> new UpstreamLoad());
--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What is known of upstreams, and the choice between them.
+ * The known upstreams, and the choice between them.
  */
 package io.whinjunction.pipeline;
--- a/whinjunction-core/src/test/java/io/whinjunction/pipeline/UpstreamTableTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/pipeline/UpstreamTableTests.java
@@ -16,8 +16,8 @@
 
 	private final UpstreamTable table = new UpstreamTable();
 
-	// The engine itself says that it leaves; the instance list lags and still calls it
-	// live. New work would go to an engine that is about to stop.
+	// Guards against new work for an engine that is about to stop: the engine reports
+	// that it is leaving, but the instance list lags and still shows it as live.
 	@Test
 	void aLaggingListDoesNotBringALeavingUpstreamBack() {
 		this.table.replace(List.of(upstream("a", false)));
@@ -27,11 +27,11 @@
 		assertThat(this.table.leavingIds()).containsExactly("a");
 	}
 
-	// Hundreds of instances are replaced a day. Names of the gone ones must not fill the
-	// table and the digests for good, nor be forgotten while a lagging list may show
-	// them.
+	// Hundreds of instances are replaced per day. The names of those that are gone
+	// must not fill the table and the digests permanently, nor be removed while a
+	// lagging list may still contain them.
 	@Test
-	void aLeavingUpstreamThatIsGoneIsForgottenInTheEnd() {
+	void aLeavingUpstreamThatIsGoneIsEventuallyRemoved() {
 		this.table.replace(List.of(upstream("a", true)));
 		for (int i = 0; i < 600; i++) {
 			this.table.replace(List.of());
@@ -42,13 +42,13 @@
 	}
 
 	@Test
-	void theFirstSourceThatSaysLeavingCounts() {
+	void anUpstreamListedAsLeavingTakesNoWork() {
 		this.table.replace(List.of(upstream("a", true), upstream("b", false)));
 		assertThat(this.table.holding("llm", RANGE)).extracting(Upstream::id).containsExactly("b");
 	}
 
 	@Test
-	void workInFlightIsKeptWhenTheListIsReadAgain() {
+	void workInFlightIsKeptWhenTheListIsReplaced() {
 		this.table.replace(List.of(upstream("a", false)));
 		this.table.load("a").start();
 		this.table.replace(List.of(upstream("a", false)));
@@ -56,7 +56,7 @@
 	}
 
 	@Test
-	void aFailedUpstreamPausesLongerEachTimeUntilItAnswers() {
+	void theBackoffOfAFailedUpstreamGrowsUntilItAnswers() {
 		UpstreamLoad load = this.table.load("a");
 		load.failed(0);
 		assertThat(load.paused(499)).isTrue();
