--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
@@ -101,25 +101,25 @@
 				return refuse(choice);
 			}
 			this.attempt++;
-			AttemptOutcome end = attempt(chosen.pipeline(), sink);
+			AttemptEnd end = attempt(chosen.pipeline(), sink);
 			switch (end) {
-				case AttemptOutcome.Whole ignored -> {
+				case AttemptEnd.Whole ignored -> {
 					return new Outcome.Answered();
 				}
-				case AttemptOutcome.CallerGone ignored -> {
+				case AttemptEnd.CallerGone ignored -> {
 					return givenUp(Code.UPSTREAM_FAILED, "The caller left before the answer was whole.");
 				}
-				case AttemptOutcome.TooLate ignored -> {
+				case AttemptEnd.TooLate ignored -> {
 					return givenUp(Code.DEADLINE, "The answer was not whole before its deadline.");
 				}
-				case AttemptOutcome.Stopping ignored -> {
+				case AttemptEnd.Stopping ignored -> {
 					return givenUp(Code.STOPPING, "This entry stops; its time was up before the answer was whole.");
 				}
-				case AttemptOutcome.RuleChanged ignored -> {
+				case AttemptEnd.RuleChanged ignored -> {
 					// Goes on where the data may be now, or ends; no engine is to blame.
 					// The answer is kept: another question might be a second wait.
 				}
-				case AttemptOutcome.StageFailed ignored -> {
+				case AttemptEnd.StageFailed ignored -> {
 					if (late()) {
 						return givenUp(Code.DEADLINE, "The answer was not whole before its deadline.");
 					}
@@ -143,7 +143,7 @@
 		return choice;
 	}
 
-	private AttemptOutcome attempt(Pipeline pipeline, TokenSink sink) {
+	private AttemptEnd attempt(Pipeline pipeline, TokenSink sink) {
 		this.ledger.abandon();
 		List<UpstreamLoad> loads = new ArrayList<>();
 		List<HopRecorder> recorders = new ArrayList<>();
@@ -162,7 +162,7 @@
 		}
 	}
 
-	private AttemptOutcome tokens(Pipeline pipeline, List<HopRecorder> recorders, TokenSink sink) {
+	private AttemptEnd tokens(Pipeline pipeline, List<HopRecorder> recorders, TokenSink sink) {
 		// The first step of an attempt computes the prompt and every token the caller
 		// already has, which builds the KV cache of all stages; then one at a time.
 		int position = 0;
@@ -173,20 +173,20 @@
 			// First, since the answer may be waited for.
 			boolean permitted = stillPermitted(pipeline, sink);
 			if (sink.cancelled()) {
-				return new AttemptOutcome.CallerGone();
+				return new AttemptEnd.CallerGone();
 			}
 			if (late()) {
-				return new AttemptOutcome.TooLate();
+				return new AttemptEnd.TooLate();
 			}
 			if (sink.stopping()) {
-				return new AttemptOutcome.Stopping();
+				return new AttemptEnd.Stopping();
 			}
 			if (!permitted) {
-				return new AttemptOutcome.RuleChanged();
+				return new AttemptEnd.RuleChanged();
 			}
 			String token = token(pipeline, recorders, position, inputs);
 			if (token == null) {
-				return new AttemptOutcome.StageFailed();
+				return new AttemptEnd.StageFailed();
 			}
 			position += inputs.size();
 			inputs = List.of(token);
@@ -194,7 +194,7 @@
 			this.budget.progressed();
 			sink.token(token);
 		}
-		return new AttemptOutcome.Whole();
+		return new AttemptEnd.Whole();
 	}
 
 	// A place rule may be tightened while a long draft runs; it is in force for the next
@@ -309,24 +309,24 @@
 		}
 	}
 
-	private sealed interface AttemptOutcome {
+	private sealed interface AttemptEnd {
 
-		record Whole() implements AttemptOutcome {
+		record Whole() implements AttemptEnd {
 		}
 
-		record CallerGone() implements AttemptOutcome {
+		record CallerGone() implements AttemptEnd {
 		}
 
-		record TooLate() implements AttemptOutcome {
+		record TooLate() implements AttemptEnd {
 		}
 
-		record Stopping() implements AttemptOutcome {
+		record Stopping() implements AttemptEnd {
 		}
 
-		record RuleChanged() implements AttemptOutcome {
+		record RuleChanged() implements AttemptEnd {
 		}
 
-		record StageFailed() implements AttemptOutcome {
+		record StageFailed() implements AttemptEnd {
 		}
 
 	}
