--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
@@ -15,7 +15,7 @@
 import io.whinjunction.chain.PathCosts;
 import io.whinjunction.chain.PathFinder;
 import io.whinjunction.chain.Placement;
-import io.whinjunction.chain.ReplicaCounts;
+import io.whinjunction.chain.ReplicaCountCache;
 import io.whinjunction.configuration.LayerRange;
 
 /**
@@ -53,7 +53,7 @@
 
 		private final ModelProfile model;
 
-		private final ReplicaCounts counts = new ReplicaCounts();
+		private final ReplicaCountCache counts = new ReplicaCountCache();
 
 		Product(ModelProfile model) {
 			this.model = model;
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
@@ -5,7 +5,7 @@
 import io.whinjunction.chain.Engine;
 import io.whinjunction.chain.LayerPlanner;
 import io.whinjunction.chain.PathFinder;
-import io.whinjunction.chain.ReplicaCounts;
+import io.whinjunction.chain.ReplicaCountCache;
 
 /**
  * The cost of the decisions on chains as failure domains grow: the first plan, the plan
@@ -46,7 +46,7 @@
 		List<Engine> placed = ChainFleet.MIDDLING.placed(empty);
 		Engine lost = placed.stream().filter((engine) -> engine.held() != null).findFirst().orElseThrow();
 		List<Engine> holed = placed.stream().filter((engine) -> engine != lost).toList();
-		ReplicaCounts counts = new ReplicaCounts();
+		ReplicaCountCache counts = new ReplicaCountCache();
 		report.put("chain-repair" + size, "us",
 				micros(() -> this.sink = LayerPlanner.plan(ChainFleet.MIDDLING.model(), holed, counts)));
 		List<PathFinder.Candidate> candidates = placed.stream()
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
@@ -59,7 +59,7 @@
 	 * @return the placements to order, the most urgent first; each engine at most once
 	 */
 	public static List<Placement> plan(ModelProfile profile, List<Engine> engines) {
-		return plan(profile, engines, new ReplicaCounts());
+		return plan(profile, engines, new ReplicaCountCache());
 	}
 
 	/**
@@ -69,7 +69,7 @@
 	 * @param wanted the cached numbers of replicas, kept from one plan to the next
 	 * @return the placements to order, the most urgent first
 	 */
-	public static List<Placement> plan(ModelProfile profile, List<Engine> engines, ReplicaCounts wanted) {
+	public static List<Placement> plan(ModelProfile profile, List<Engine> engines, ReplicaCountCache wanted) {
 		Map<String, List<Engine>> byDomain = engines.stream()
 			.filter((engine) -> !engine.leaving())
 			.collect(Collectors.groupingBy(Engine::failureDomain, TreeMap::new, Collectors.toList()));
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ReplicaCounts.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ReplicaCountCache.java
@@ -14,7 +14,7 @@
  * <p>
  * Invariant: holds at most {@link #MAX_ENTRIES} entries. Not thread-safe.
  */
-public final class ReplicaCounts {
+public final class ReplicaCountCache {
 
 	/** Nine failure domains, each with and without some engines, with a margin. */
 	private static final int MAX_ENTRIES = 256;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerKeeper.java
@@ -15,7 +15,7 @@
 import io.whinjunction.chain.LayerPlanner;
 import io.whinjunction.chain.ModelProfile;
 import io.whinjunction.chain.Placement;
-import io.whinjunction.chain.ReplicaCounts;
+import io.whinjunction.chain.ReplicaCountCache;
 import io.whinjunction.configuration.LayerRange;
 import io.whinjunction.routing.RoutedService;
 import io.whinjunction.routing.RoutingConfiguration;
@@ -70,7 +70,7 @@
 
 	private final Leadership leadership;
 
-	private final ReplicaCounts replicaCounts = new ReplicaCounts();
+	private final ReplicaCountCache replicaCounts = new ReplicaCountCache();
 
 	private final Map<String, Ordered> ordered = new HashMap<>();
 
