--- a/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
@@ -18,9 +18,9 @@
  * that the crashing request reaches next.
  * <p>
  * The other requests are told apart from it because they ran successfully before, or do
- * so elsewhere. A request is refused once {@link #MOST_CRASHES} upstreams have crashed
+ * so elsewhere. A request is refused once {@link #MAX_CRASHES} upstreams have crashed
  * while it was queued or starting there, as observed by any router, and nothing shows
- * that it can run; or once {@link #MOST_CRASHES_RUNNING} upstreams have crashed that had
+ * that it can run; or once {@link #MAX_CRASHES_RUNNING} upstreams have crashed that had
  * begun to run it and had returned no result, which happens to other requests only by
  * chance. Since many callers may send the same request and one outage may stop all
  * upstreams at once, a refused request is retried after a pause, once, by one router of
@@ -36,13 +36,13 @@
 public final class CrashingRequests {
 
 	/** Number of upstreams that may crash under a request before it is refused. */
-	public static final int MOST_CRASHES = 3;
+	public static final int MAX_CRASHES = 3;
 
 	/**
 	 * Number of those crashes at which the upstream had begun to run the request and had
 	 * returned no result.
 	 */
-	public static final int MOST_CRASHES_RUNNING = 2;
+	public static final int MAX_CRASHES_RUNNING = 2;
 
 	/**
 	 * After a successful run a request is not suspected for this long, in milliseconds.
@@ -91,7 +91,7 @@
 	/**
 	 * Further crashes change nothing: the pause then exceeds the retention period.
 	 */
-	private static final int MAX_COUNTED = MOST_CRASHES + 2;
+	private static final int MAX_COUNTED = MAX_CRASHES + 2;
 
 	static final int MAX_SUSPECTS = 2048;
 
@@ -409,12 +409,12 @@
 		// number of crashes.
 		int countedCrashes(long nowMs) {
 			int counted = (int) this.crashes.stream().filter((crash) -> crash.counts(nowMs)).count();
-			return (this.restoredAtMs != NEVER_MS) ? Math.max(MOST_CRASHES, counted) : counted;
+			return (this.restoredAtMs != NEVER_MS) ? Math.max(MAX_CRASHES, counted) : counted;
 		}
 
 		boolean refused(long nowMs) {
-			return countedCrashes(nowMs) >= MOST_CRASHES
-					|| this.crashes.stream().filter(Crash::running).count() >= MOST_CRASHES_RUNNING;
+			return countedCrashes(nowMs) >= MAX_CRASHES
+					|| this.crashes.stream().filter(Crash::running).count() >= MAX_CRASHES_RUNNING;
 		}
 
 		boolean clear(long untilMs) {
@@ -425,7 +425,7 @@
 
 		long pausedUntilMs(long nowMs) {
 			long pauseMs = FIRST_PAUSE_MS;
-			for (int more = MOST_CRASHES; more < countedCrashes(nowMs); more++) {
+			for (int more = MAX_CRASHES; more < countedCrashes(nowMs); more++) {
 				pauseMs *= PAUSE_FACTOR;
 			}
 			long lastMs = this.crashes.stream().mapToLong(Crash::atMs).max().orElse(this.restoredAtMs);
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/CrashSpreadTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/CrashSpreadTests.java
@@ -46,7 +46,7 @@
 			for (int index = 0; index < ROUTERS; index++) {
 				routers.add(new CrashingRequests());
 			}
-			for (int crash = 0; crash < CrashingRequests.MOST_CRASHES; crash++) {
+			for (int crash = 0; crash < CrashingRequests.MAX_CRASHES; crash++) {
 				CrashingRequests observer = routers.get(random.nextInt(ROUTERS));
 				observer.crashed(CRASHING, "e-" + crash, false, 0);
 				for (int cut = 0; cut < OTHERS_CUT; cut++) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
@@ -22,7 +22,7 @@
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/** Crashes of one request that other routers hear of soon. */
-	private static final int URGENT_CRASHES = CrashingRequests.MOST_CRASHES - 1;
+	private static final int URGENT_CRASHES = CrashingRequests.MAX_CRASHES - 1;
 
 	/**
 	 * Crashes within this long are told together, in milliseconds: an upstream's end cuts
