--- /dev/null
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -0,0 +1,329 @@
+package io.whinjunction.router;
+
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.random.RandomGenerator;
+
+import com.google.common.flogger.FluentLogger;
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
+import io.whinjunction.proof.ConfigurationProof;
+import io.whinjunction.routing.RoutingConfiguration;
+import io.whinjunction.time.BootClock;
+
+/**
+ * Keeps the local copy of the configuration current and proves that it is the newest.
+ * <p>
+ * One linearizable read does both. A router repeats it only if no peer has proved the
+ * same version within {@link #READ_PERIOD_RATIO} of the time by which an accepted
+ * configuration has to be in force. A few routers read earlier than the rest, so the
+ * fleet reads the store a few times per period instead of once per router.
+ * <p>
+ * {@link ConfigurationFreshness} decides which reads prove anything after the store has
+ * been restored from an older copy.
+ * <p>
+ * Invariants: the version in force never decreases; no version is proved while a peer
+ * reports a later one. Confined to the event loop.
+ */
+final class ConfigurationSynchronizer {
+
+	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+
+	/**
+	 * Age of the proof at which a router reads, as a ratio of the time by which an
+	 * accepted configuration has to be in force.
+	 */
+	private static final double READ_PERIOD_RATIO = 0.5;
+
+	/**
+	 * The same ratio for the few routers that watch the store for changes of upstreams.
+	 * One read renews the proof of the whole fleet, so all proofs expire together;
+	 * routers that read earlier notify the rest before those read too.
+	 */
+	private static final double EARLY_READ_PERIOD_RATIO = 0.25;
+
+	/**
+	 * Upper bound of the random jitter of the read interval, as a ratio of the same time.
+	 */
+	private static final double JITTER_RATIO = 0.125;
+
+	/**
+	 * The same for the routers that read early: long enough for the first proof to reach
+	 * most of the others.
+	 */
+	private static final double EARLY_JITTER_RATIO = 0.25;
+
+	/**
+	 * How long a starting router waits for its peers to report their versions, in
+	 * milliseconds: several times the usual response time.
+	 */
+	private static final long PEER_RESPONSE_TIMEOUT_MS = 300;
+
+	/** Delay before a failed read is retried, in milliseconds: four calls per second. */
+	private static final long RETRY_MS = 250;
+
+	private static final long NEVER_MS = Long.MIN_VALUE / 2;
+
+	private final EventLoop loop;
+
+	private final FleetStore store;
+
+	private final long inForceMs;
+
+	private final BooleanSupplier readsEarly;
+
+	private final ConfigurationProof proof;
+
+	private final BootClock boot;
+
+	private final Runnable changed;
+
+	private final ConfigurationFreshness freshness;
+
+	private final RandomGenerator random;
+
+	private ConfigurationDocument document;
+
+	private boolean storeReachable = true;
+
+	private ScheduledFuture<?> next;
+
+	private boolean reading;
+
+	private boolean fetching;
+
+	/** Whether the last read returned an older version than a peer has in force. */
+	private boolean storeOutdated;
+
+	private boolean stopped;
+
+	/** Time of the newest proof not yet confirmed by peers, on the clock of proofs. */
+	private long unconfirmedProofAtMs = NEVER_MS;
+
+	/**
+	 * Creates a synchronizer.
+	 * @param loop the event loop
+	 * @param store the store of the configuration
+	 * @param proof the freshness proof to renew
+	 * @param boot the clock of proofs
+	 * @param inForceMs time by which an accepted configuration must be in force, in
+	 * milliseconds
+	 * @param readsEarly whether this router is one of the few that read before the others
+	 * @param changed run after each change, and once when the first configuration is
+	 * confirmed
+	 * @param era the era of the store
+	 * @param random the source of randomness
+	 */
+	ConfigurationSynchronizer(EventLoop loop, FleetStore store, ConfigurationProof proof, BootClock boot,
+			long inForceMs, BooleanSupplier readsEarly, Runnable changed, StoreEra era, RandomGenerator random) {
+		this.inForceMs = inForceMs;
+		this.readsEarly = readsEarly;
+		this.changed = changed;
+		this.freshness = new ConfigurationFreshness(era, proof.keysBoundMs());
+		this.random = random;
+		this.loop = loop;
+		this.store = store;
+		this.proof = proof;
+		this.boot = boot;
+	}
+
+	RoutingConfiguration configuration() {
+		return (this.document != null) ? this.document.configuration() : null;
+	}
+
+	/**
+	 * Returns the configuration in force with its text.
+	 * @return the document, or {@code null} before the first read
+	 */
+	ConfigurationDocument document() {
+		return this.document;
+	}
+
+	void start() {
+		read();
+	}
+
+	/**
+	 * Processes the version that a peer reports.
+	 * @param version the version in force at the peer
+	 * @param provedAtMs when it was proved to be the newest, on the clock of proofs
+	 * @param peerAddress the address at which the peer receives messages
+	 */
+	void peerVersionReceived(long version, long provedAtMs, String peerAddress) {
+		long own = version();
+		boolean wasConfirmed = confirmed();
+		this.freshness.peerVersionReceived(version, peerAddress, this.boot.nowMs());
+		notifyIfConfirmed(wasConfirmed);
+		if (version == own && version >= 0) {
+			proved(provedAtMs);
+		}
+		else if (version > own && this.storeReachable && !this.storeOutdated && !this.reading) {
+			read();
+		}
+		else if (version > own && (!this.storeReachable || this.storeOutdated) && !this.fetching) {
+			// The store rejects this router but serves others, or it was restored from an
+			// older copy. Only the configurations of peers reflect keys revoked since
+			// then.
+			this.fetching = true;
+			long requestedAtMs = this.boot.nowMs();
+			this.store.fetchConfiguration(peerAddress, (reply) -> configurationFetched(reply, requestedAtMs));
+		}
+	}
+
+	private void configurationFetched(StoreReply<FleetStore.Fetched> reply, long requestedAtMs) {
+		this.fetching = false;
+		if (reply instanceof StoreReply.Found<FleetStore.Fetched> found) {
+			accept(found.value().document(), requestedAtMs - found.value().proofAgeMs());
+		}
+		else {
+			logger.atWarning().log("event=fetch-failed reason=\"%s\"", reply);
+		}
+	}
+
+	/** Handles a restore of the store from an older copy. */
+	void storeRestored() {
+		peerRestoreReceived(0);
+	}
+
+	/**
+	 * Processes the age of a restore of the store as reported by a peer of the same era.
+	 * @param ageMs how long ago the peer learned of the restore, in milliseconds; -1 if
+	 * it knows of none
+	 */
+	void peerRestoreReceived(long ageMs) {
+		this.freshness.storeRestored(ageMs, this.boot.nowMs());
+	}
+
+	/**
+	 * Returns how long ago the store was restored.
+	 * @return milliseconds; -1 if no restore is known or it was long ago
+	 */
+	long restoreAgeMs() {
+		return this.freshness.restoreAgeMs(this.boot.nowMs());
+	}
+
+	/**
+	 * Notes that peers were queried for their versions.
+	 * @param routers the number of peers queried; their responses may be lost
+	 */
+	void peersQueried(int routers) {
+		boolean wasConfirmed = confirmed();
+		this.freshness.peersQueried(routers);
+		notifyIfConfirmed(wasConfirmed);
+		this.loop.schedule(this::peerResponseTimedOut, PEER_RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+	}
+
+	private void peerResponseTimedOut() {
+		boolean wasConfirmed = confirmed();
+		this.freshness.peerResponseTimedOut();
+		notifyIfConfirmed(wasConfirmed);
+	}
+
+	private void notifyIfConfirmed(boolean wasConfirmed) {
+		if (!wasConfirmed && confirmed()) {
+			proved(this.unconfirmedProofAtMs);
+			this.changed.run();
+		}
+	}
+
+	/**
+	 * Returns whether the configuration may be acted on, as far as peers can tell.
+	 * @return {@code false} after a start, until peers have responded or the time for
+	 * that is over
+	 */
+	boolean confirmed() {
+		return this.freshness.confirmed();
+	}
+
+	private void proved(long requestedAtMs) {
+		if (!confirmed()) {
+			this.unconfirmedProofAtMs = Math.max(this.unconfirmedProofAtMs, requestedAtMs);
+		}
+		else if (this.freshness.proves(version(), requestedAtMs, this.boot.nowMs())) {
+			this.proof.proved(requestedAtMs);
+		}
+	}
+
+	private long version() {
+		return (configuration() != null) ? configuration().version() : -1;
+	}
+
+	void stop() {
+		this.stopped = true;
+	}
+
+	private void read() {
+		if (this.stopped || this.reading) {
+			return;
+		}
+		this.reading = true;
+		long requestedAtMs = this.boot.nowMs();
+		this.store.readConfiguration((reply) -> configurationRead(reply, requestedAtMs));
+	}
+
+	private void configurationRead(StoreReply<ConfigurationDocument> reply, long requestedAtMs) {
+		this.reading = false;
+		long pauseMs = RETRY_MS;
+		if (reply instanceof StoreReply.Found<ConfigurationDocument> found) {
+			updateReachability(true, "read");
+			this.storeOutdated = this.freshness.outdated(found.value().configuration().version(), this.boot.nowMs());
+			accept(found.value(), requestedAtMs);
+			pauseMs = periodMs() + jitterMs();
+		}
+		else {
+			updateReachability(false, reply.toString());
+		}
+		if (this.next != null) {
+			this.next.cancel(false);
+		}
+		this.next = this.loop.schedule(this::readUnlessProved, pauseMs, TimeUnit.MILLISECONDS);
+	}
+
+	private long periodMs() {
+		return (long) ((this.readsEarly.getAsBoolean() ? EARLY_READ_PERIOD_RATIO : READ_PERIOD_RATIO) * this.inForceMs);
+	}
+
+	private long jitterMs() {
+		double ratio = this.readsEarly.getAsBoolean() ? EARLY_JITTER_RATIO : JITTER_RATIO;
+		return this.random.nextLong(Math.max(1, (long) (ratio * this.inForceMs)));
+	}
+
+	private void readUnlessProved() {
+		long ageMs = this.proof.ageMs(this.boot.nowMs());
+		long periodMs = periodMs();
+		if (ageMs < periodMs) {
+			// A peer has read meanwhile; the interval is counted from its proof. The
+			// jitter keeps routers from reading at the same time.
+			long pauseMs = periodMs - ageMs + jitterMs();
+			this.next = this.loop.schedule(this::readUnlessProved, pauseMs, TimeUnit.MILLISECONDS);
+			return;
+		}
+		read();
+	}
+
+	private void accept(ConfigurationDocument read, long provedAtMs) {
+		long before = version();
+		long version = read.configuration().version();
+		if (version < before) {
+			logger.atWarning().log("event=configuration-older version=%d in-force=%d", version, before);
+			return;
+		}
+		if (version > before) {
+			logger.atInfo()
+				.log("event=configuration version=%d before=%d in-touch=%s", version, before, this.storeReachable);
+			this.document = read;
+			this.changed.run();
+		}
+		proved(provedAtMs);
+	}
+
+	private void updateReachability(boolean reachable, String reason) {
+		if (reachable != this.storeReachable) {
+			this.storeReachable = reachable;
+			logger.atWarning()
+				.log("event=%s dependency=store call=configuration reason=\"%s\" proof-age-ms=%d",
+						reachable ? "regained" : "lost", reason, this.proof.ageMs(this.boot.nowMs()));
+		}
+	}
+
+}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
@@ -16,9 +16,9 @@
 
 	private final RouterSettings settings;
 
-	private final ConfigurationKeeper configurationKeeper;
+	private final ConfigurationSynchronizer configurationSynchronizer;
 
-	private final DirectoryKeeper directoryKeeper;
+	private final DirectorySynchronizer directorySynchronizer;
 
 	private final LayerKeeper layerKeeper;
 
@@ -32,18 +32,18 @@
 	 * A side.
 	 * @param router the clocks, the directory and the other routers
 	 * @param settings this router's name and address
-	 * @param configurationKeeper knows the configuration in force
-	 * @param directoryKeeper knows the list of upstreams
+	 * @param configurationSynchronizer knows the configuration in force
+	 * @param directorySynchronizer knows the list of upstreams
 	 * @param layerKeeper knows which engines are slow, while this router leads
 	 * @param leadership whether it does
 	 * @param era the era of the store
 	 */
-	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationKeeper configurationKeeper,
-			DirectoryKeeper directoryKeeper, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
+	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationSynchronizer configurationSynchronizer,
+			DirectorySynchronizer directorySynchronizer, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
 		this.router = router;
 		this.settings = settings;
-		this.configurationKeeper = configurationKeeper;
-		this.directoryKeeper = directoryKeeper;
+		this.configurationSynchronizer = configurationSynchronizer;
+		this.directorySynchronizer = directorySynchronizer;
 		this.layerKeeper = layerKeeper;
 		this.leadership = leadership;
 		this.era = era;
@@ -60,30 +60,31 @@
 				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
 				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
 				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
-				this.directoryKeeper.state(), this.era.current(), this.configurationKeeper.returnAgeMs());
+				this.directorySynchronizer.state(), this.era.current(), this.configurationSynchronizer.restoreAgeMs());
 	}
 
 	@Override
 	public void heard(PeerStatus status) {
 		PeerTable peers = this.router.peers();
-		this.era.heard(status.storeEra());
+		this.era.eraReceived(status.storeEra());
 		if (status.storeEra() == this.era.current()) {
-			this.configurationKeeper.heardOfReturn(status.storeReturnAgeMs());
+			this.configurationSynchronizer.peerRestoreReceived(status.storeReturnAgeMs());
 		}
 		peers.heard(status, this.router.nowMs());
 		status.suspects().forEach(this.router.watch()::hearsay);
-		this.configurationKeeper.heard(status.version(), peers.provedAtMs(status), status.address());
-		this.directoryKeeper.heard(status.address(), status.list(), peers.listProvedAtMs(status));
+		this.configurationSynchronizer.peerVersionReceived(status.version(), peers.provedAtMs(status),
+				status.address());
+		this.directorySynchronizer.peerStateReceived(status.address(), status.list(), peers.listProvedAtMs(status));
 	}
 
 	@Override
 	public UpstreamChanges changesAfter(StoreVersion after) {
-		return this.directoryKeeper.changesAfter(after);
+		return this.directorySynchronizer.changesAfter(after);
 	}
 
 	@Override
 	public void told(UpstreamChanges changes) {
-		this.directoryKeeper.told(changes);
+		this.directorySynchronizer.peerChangesReceived(changes);
 	}
 
 	@Override
