--- /dev/null
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryDecision.java
@@ -0,0 +1,20 @@
+package io.whinjunction.forward;
+
+/**
+ * Decision after an attempt without a response for the caller. Immutable.
+ */
+public sealed interface RetryDecision {
+
+	/** The request is sent to another upstream. */
+	record Retry() implements RetryDecision {
+	}
+
+	/** The request has not run and never will; the response states when to retry. */
+	record Refuse() implements RetryDecision {
+	}
+
+	/** The request may have run; the response makes no claim about whether it did. */
+	record Fail() implements RetryDecision {
+	}
+
+}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashGuard.java
@@ -22,7 +22,7 @@
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
 	/** Number of crashes of one request from which peers are notified immediately. */
-	private static final int URGENT_CRASHES = CrashingRequests.MOST_CRASHES - 1;
+	private static final int URGENT_CRASHES = CrashingRequests.MAX_CRASHES - 1;
 
 	/**
 	 * Crashes within this time are reported together, in milliseconds: the exit of an
@@ -152,7 +152,7 @@
 	List<CrashHistory> reported() {
 		long nowMs = this.router.nowMs();
 		if (nowMs - this.reportedAtMs >= PeerLink.PERIOD_MS) {
-			this.reported = this.requests.told(nowMs);
+			this.reported = this.requests.historiesToSend(nowMs);
 			this.reportedAtMs = nowMs;
 		}
 		return this.reported;
@@ -166,7 +166,7 @@
 		boolean found = false;
 		for (CrashHistory history : histories) {
 			boolean before = isRefused(history.fingerprint());
-			this.requests.heard(history, this.router.nowMs());
+			this.requests.receive(history, this.router.nowMs());
 			found |= !before && isRefused(history.fingerprint());
 		}
 		if (found) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-import io.whinjunction.chain.Crowding;
+import io.whinjunction.chain.Congestion;
 import io.whinjunction.chain.Engine;
 import io.whinjunction.chain.EngineKind;
 import io.whinjunction.chain.Hop;
@@ -156,7 +156,7 @@
 	}
 
 	private static boolean full(ModelProfile profile, EngineKind kind, LayerRange held, double usedRatio) {
-		return Crowding.full(usedRatio, profile.roomTokens(kind, held.end() - held.first()));
+		return Congestion.full(usedRatio, profile.kvCapacityTokens(kind, held.end() - held.first()));
 	}
 
 	/**
@@ -169,7 +169,7 @@
 	 */
 	double usedRatio(ModelProfile profile, EngineKind kind, UpstreamState state, long nowMs) {
 		LayerRange held = state.upstream().held();
-		double capacity = profile.roomTokenLayers(kind, held.end() - held.first());
+		double capacity = profile.kvCapacityTokenLayers(kind, held.end() - held.first());
 		double used = state.tokenLayers() + this.peers.tokenLayersAt(state.incarnation(), nowMs);
 		return used / Math.max(1, capacity);
 	}
