--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -225,7 +225,7 @@
 	}
 
 	private static StallRules.Pause pause(Attempt stream, List<String> engineIds, long nowMs) {
-		return new StallRules.Pause(engineIds, stream.gapsKnown(), stream.usualGapMs(), nowMs - stream.progressAtMs());
+		return new StallRules.Pause(engineIds, stream.hasMeanGap(), stream.meanGapMs(), nowMs - stream.progressAtMs());
 	}
 
 	private void failOverFromSuspects(Map<Attempt, StallRules.Pause> pauses) {
@@ -315,7 +315,7 @@
 			boolean queriedRecently = queriedMs != null
 					&& nowMs - queriedMs < (urgent ? SUSPECT_QUERY_INTERVAL_MS : QUERY_INTERVAL_MS);
 			if (queriedRecently
-					|| !EngineMonitor.this.budget.take(nowMs, EngineMonitor.this.router.peers().sharers(nowMs))) {
+					|| !EngineMonitor.this.budget.take(nowMs, EngineMonitor.this.router.peers().routerCount(nowMs))) {
 				return;
 			}
 			EngineMonitor.this.queriedAtMs.put(upstream.incarnation(), nowMs);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -15,7 +15,7 @@
 import io.whinjunction.chain.LayerPlanner;
 import io.whinjunction.chain.ModelProfile;
 import io.whinjunction.chain.Placement;
-import io.whinjunction.chain.ReplicaCounts;
+import io.whinjunction.chain.ReplicaCountCache;
 import io.whinjunction.configuration.LayerRange;
 import io.whinjunction.routing.RoutedService;
 import io.whinjunction.routing.RoutingConfiguration;
@@ -75,7 +75,7 @@
 
 	private final Leadership leadership;
 
-	private final ReplicaCounts replicaCounts = new ReplicaCounts();
+	private final ReplicaCountCache replicaCounts = new ReplicaCountCache();
 
 	private final Map<String, PendingOrder> pendingOrders = new HashMap<>();
 
@@ -197,7 +197,7 @@
 	private double usedRatio(ModelProfile profile, Engine engine) {
 		UpstreamState state = this.router.directory().find(engine.id());
 		boolean holds = state != null && state.upstream().held() != null;
-		return holds ? this.router.chooser().usedPart(profile, engine.kind(), state, this.router.nowMs()) : 0;
+		return holds ? this.router.chooser().usedRatio(profile, engine.kind(), state, this.router.nowMs()) : 0;
 	}
 
 	private Set<String> unsettled(String service, List<Engine> engines) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -160,7 +160,7 @@
 		this.directory = new UpstreamDirectory((upstream) -> this.pool.drop(upstream.incarnation()));
 		this.engineMonitor = new EngineMonitor(this, ports.engines(), this::engineStateChanged,
 				() -> leadership().holds());
-		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().tellNow());
+		this.crashGuard = new CrashGuard(this, ports.store(), () -> peerLink().sendStatusNow());
 		this.store = ports.store();
 		this.engines = ports.engines();
 		this.configurationSynchronizer = new ConfigurationSynchronizer(this.loop, ports.store(), this.proof, boot,
@@ -175,7 +175,7 @@
 		this.directorySynchronizer = new DirectorySynchronizer(this, ports.store(), new DirectoryListener(),
 				() -> this.leadership.holds(), settings.bounds().drainMs(), this.random);
 		this.peerLink = new PeerLink(this, this.peers,
-				new PeerConversation(this, settings, this.configurationSynchronizer, this.directorySynchronizer,
+				new PeerMessageHandler(this, settings, this.configurationSynchronizer, this.directorySynchronizer,
 						this.layerReconciler, this.leadership, ports.store().era()));
 		ports.store().era().onRestore(this::storeRestored);
 	}
@@ -191,12 +191,12 @@
 		this.layerReconciler.start();
 		Channel peerChannel = this.peerLink.start(this.settings.peers());
 		this.closer.register(peerChannel::close);
-		PeerDocuments documents = new PeerDocuments(this.configurationSynchronizer::document,
+		PeerConfigurationHandler documents = new PeerConfigurationHandler(this.configurationSynchronizer::document,
 				() -> this.proof.ageMs(this.boot.nowMs()));
 		listen(this.settings.peers(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), documents));
 		announce();
 		this.crashGuard.records().read();
-		this.loop.schedule(this.callersPort::close, CallersPort.MOST_WAIT_MS, TimeUnit.MILLISECONDS);
+		this.loop.schedule(this.callersPort::close, CallersPort.MAX_WAIT_MS, TimeUnit.MILLISECONDS);
 		this.loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
 		ReadyHandler ready = new ReadyHandler(this.dialect.readyPath(), this::ready, this.metrics);
 		listen(this.settings.ready(), (channel) -> channel.pipeline().addLast(new HttpServerCodec(), ready));
@@ -245,7 +245,7 @@
 		this.store.announce(this.settings.name(), Addresses.text(this.settings.peers()), (reply) -> {
 			if (reply instanceof StoreReply.Found<List<String>> found) {
 				this.peers.addresses(found.value());
-				this.configurationSynchronizer.peersQueried(this.peerLink.askUnheard());
+				this.configurationSynchronizer.peersQueried(this.peerLink.querySilentPeers());
 				logger.atInfo().log("event=announced routers=%d", found.value().size());
 			}
 			else {
@@ -260,13 +260,13 @@
 		this.leadership.storeRestored();
 		this.configurationSynchronizer.storeRestored();
 		this.directorySynchronizer.storeRestored();
-		this.crashGuard.records().storeReturned();
-		long jitterMs = ANNOUNCE_JITTER_MS_PER_ROUTER * this.peers.sharers(nowMs());
+		this.crashGuard.records().storeRestored();
+		long jitterMs = ANNOUNCE_JITTER_MS_PER_ROUTER * this.peers.routerCount(nowMs());
 		this.loop.schedule(this::announce, this.random.nextLong(jitterMs), TimeUnit.MILLISECONDS);
 	}
 
 	private void engineStateChanged() {
-		this.peerLink.tellNow();
+		this.peerLink.sendStatusNow();
 		this.layerReconciler.plan();
 	}
 
@@ -356,7 +356,7 @@
 		long idleMs = (configuration() != null) ? configuration().limits().idleTimeoutMs()
 				: CallerLimits.DEFAULT.idleTimeoutMs();
 		long nowMs = nowMs();
-		Set.copyOf(this.callers).forEach((caller) -> caller.endIfQuiet(nowMs, idleMs));
+		Set.copyOf(this.callers).forEach((caller) -> caller.closeIfInactive(nowMs, idleMs));
 		this.metrics.state("version", (configuration() != null) ? configuration().version() : -1);
 		this.metrics.state("proof_age_ms", this.proof.ageMs(this.boot.nowMs()));
 		this.metrics.state("store_era", this.store.era().current());
@@ -500,12 +500,12 @@
 
 		@Override
 		public void notifyPeers() {
-			Router.this.peerLink.tellNow();
+			Router.this.peerLink.sendStatusNow();
 		}
 
 		@Override
 		public void requestChanges(String address, StoreVersion after) {
-			Router.this.peerLink.askForChanges(address, after);
+			Router.this.peerLink.requestChanges(address, after);
 		}
 
 	}
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -324,7 +324,7 @@
 			if (other.era.current() == this.era.current()) {
 				this.configuration.peerRestoreReceived(other.configuration.restoreAgeMs());
 			}
-			this.peers.heard(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
+			this.peers.update(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
 					List.of(), false, Map.of(), other.leadership.holds(), other.peers.leaderAgeMs(nowMs),
 					other.list.state(), other.era.current(), other.configuration.restoreAgeMs()), nowMs);
 			this.configuration.peerVersionReceived(version, provedAtMs, other.address);
