--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -148,7 +148,7 @@
 				transport, this.ticker, random);
 		this.closer.register(PeerServer.start(transport, settings.host(), settings.peerPort(), node));
 		this.runningTimes = new RunningTimes(ticker.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
-		loops(new ConfigurationWatcher(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
+		startLoops(new ConfigurationWatcher(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
 				new UpstreamPoller(store, engines, configuration, upstreams), node);
 		this.callers = this.closer.register(HttpServer.start(
 				new HttpServerSettings(settings.host(), settings.callerPort(), settings.limits().bodyBytes(),
@@ -219,28 +219,28 @@
 		this.closer.close();
 	}
 
-	private void loops(ConfigurationWatcher configurationWatch, UpstreamPoller upstreamPoller, PeerNode node) {
-		loop("running", RUN_NOTE_INTERVAL_MS, () -> {
+	private void startLoops(ConfigurationWatcher configurationWatch, UpstreamPoller upstreamPoller, PeerNode node) {
+		startLoop("running", RUN_NOTE_INTERVAL_MS, () -> {
 			this.runningTimes.note(this.ticker.nowMs());
 			return true;
 		});
-		loop("configuration", 0, configurationWatch::step);
-		loop("upstreams", this.settings.timing().instancesMs(), upstreamPoller::step);
-		loop("gossip", this.settings.timing().gossipMs(), () -> {
+		startLoop("configuration", 0, configurationWatch::step);
+		startLoop("upstreams", this.settings.timing().instancesMs(), upstreamPoller::step);
+		startLoop("gossip", this.settings.timing().gossipMs(), () -> {
 			node.gossip(this.settings.seeds());
 			return true;
 		});
-		loop("limits", 1000, () -> {
+		startLoop("limits", 1000, () -> {
 			node.renewLoans();
 			return true;
 		});
-		loop("claims", 1000, () -> {
+		startLoop("claims", 1000, () -> {
 			this.context.metrics().state("given_up_claims", this.context.claims().sweepGivenUp());
 			return true;
 		});
 	}
 
-	private void loop(String name, long periodMs, BooleanSupplier step) {
+	private void startLoop(String name, long periodMs, BooleanSupplier step) {
 		Thread.ofVirtual().name("whin-" + name).start(() -> {
 			while (!this.closed) {
 				try {
