--- a/whinjunction-core/src/main/java/io/whinjunction/limit/LimitOwner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/LimitOwner.java
@@ -7,7 +7,7 @@
  * Lends the half of a team's rate that is not in base shares.
  * <p>
  * Invariants: what is lent at any time sums up to at most the lendable rate; nothing is
- * lent during the first {@link LimitShares#LENT_MS} of an ownership, so that what an
+ * lent during the first {@link LimitShares#LOAN_MS} of an ownership, so that what an
  * earlier owner lent has run out. Safe for all threads.
  */
 public final class LimitOwner {
@@ -21,12 +21,12 @@
 	 * @param member the entry that asks
 	 * @param demandPerSecond what the entry could use beyond its base share
 	 * @param nowMs the time
-	 * @return the rate lent for {@link LimitShares#LENT_MS}; 0 for nothing
+	 * @return the rate lent for {@link LimitShares#LOAN_MS}; 0 for nothing
 	 */
 	public synchronized double lend(String team, double ratePerSecond, String member, double demandPerSecond,
 			long nowMs) {
 		Book book = this.books.computeIfAbsent(team, (name) -> new Book(nowMs));
-		book.loans.values().removeIf((loan) -> nowMs - loan.atMs > LimitShares.LENT_MS);
+		book.loans.values().removeIf((loan) -> nowMs - loan.atMs > LimitShares.LOAN_MS);
 		double lendable = LimitShares.lendable(ratePerSecond);
 		double others = 0;
 		double othersDemand = 0;
@@ -37,7 +37,7 @@
 			}
 		}
 		double fair = lendable * demandPerSecond / Math.max(demandPerSecond + othersDemand, 1e-9);
-		boolean settled = nowMs - book.ownedSinceMs >= LimitShares.LENT_MS;
+		boolean settled = nowMs - book.ownedSinceMs >= LimitShares.LOAN_MS;
 		double lent = settled ? Math.max(0, Math.min(Math.min(fair, demandPerSecond), lendable - others)) : 0;
 		book.loans.put(member, new Loan(lent, demandPerSecond, nowMs));
 		return lent;
--- a/whinjunction-core/src/main/java/io/whinjunction/limit/LimitShares.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/LimitShares.java
@@ -10,7 +10,7 @@
 final class LimitShares {
 
 	/** How long a lent share is good for; a new owner waits as long before it lends. */
-	static final long LENT_MS = 3000;
+	static final long LOAN_MS = 3000;
 
 	/** How often demand is told to the owner. */
 	static final long RENEW_MS = 1000;
--- a/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
@@ -71,7 +71,7 @@
 		Bucket bucket = this.buckets.get(team);
 		if (bucket != null) {
 			bucket.lent = lentPerSecond;
-			bucket.lentUntilMs = askedAtMs + LimitShares.LENT_MS;
+			bucket.lentUntilMs = askedAtMs + LimitShares.LOAN_MS;
 		}
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
@@ -86,7 +86,7 @@
 				if ((nowMs + 100L * i) % LimitShares.RENEW_MS == 0) {
 					double demand = entry.demandBeyondBase(TEAM, ENTRIES, nowMs);
 					lent[i] = owner.lend(TEAM.name(), RATE, "entry-" + i, demand, nowMs);
-					lentUntilMs[i] = nowMs + LimitShares.LENT_MS;
+					lentUntilMs[i] = nowMs + LimitShares.LOAN_MS;
 					entry.lent(TEAM.name(), lent[i], nowMs);
 					assertThat(validLoans(lent, lentUntilMs, nowMs)).isLessThanOrEqualTo(RATE / 2 + 1e-6);
 				}
