--- a/whinjunction-core/src/main/java/io/whinjunction/limit/LimitShares.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/LimitShares.java
@@ -13,7 +13,7 @@
 	static final long LOAN_MS = 3000;
 
 	/** How often demand is told to the owner. */
-	static final long RENEW_MS = 1000;
+	static final long RENEWAL_PERIOD_MS = 1000;
 
 	private static final double BASE_PART = 0.5;
 
--- a/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * The demand to tell a team's owner; called once per {@link LimitShares#RENEW_MS}.
+	 * The demand to tell a team's owner; called once per {@link LimitShares#RENEWAL_PERIOD_MS}.
 	 * @param team the team
 	 * @param entryCount how many entries share its rate
 	 * @param nowMs the time
--- a/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
@@ -53,7 +53,7 @@
 		LimitOwner owner = new LimitOwner();
 		int started = 0;
 		for (long nowMs = 0; nowMs < 20_000; nowMs += 5) {
-			if (nowMs % LimitShares.RENEW_MS == 0) {
+			if (nowMs % LimitShares.RENEWAL_PERIOD_MS == 0) {
 				double demand = limits.demandBeyondBase(TEAM, ENTRIES, nowMs);
 				limits.lent(TEAM.name(), owner.lend(TEAM.name(), RATE, "entry-1", demand, nowMs), nowMs);
 			}
@@ -83,7 +83,7 @@
 			}
 			for (int i = 0; i < ENTRIES; i++) {
 				TeamLimits entry = entries.get(i);
-				if ((nowMs + 100L * i) % LimitShares.RENEW_MS == 0) {
+				if ((nowMs + 100L * i) % LimitShares.RENEWAL_PERIOD_MS == 0) {
 					double demand = entry.demandBeyondBase(TEAM, ENTRIES, nowMs);
 					lent[i] = owner.lend(TEAM.name(), RATE, "entry-" + i, demand, nowMs);
 					lentUntilMs[i] = nowMs + LimitShares.LOAN_MS;
