--- a/whinjunction-core/src/main/java/io/whinjunction/limit/LimitOwner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/LimitOwner.java
@@ -47,7 +47,7 @@
 	 * Gives up teams that another entry owns now.
 	 * @param team the team
 	 */
-	public synchronized void disown(String team) {
+	public synchronized void release(String team) {
 		this.books.remove(team);
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
@@ -126,7 +126,7 @@
 		for (Team team : this.configuration.configuration().teams().values()) {
 			Member teamOwner = ownerOf(team.name(), alive);
 			if (!teamOwner.id().equals(this.members.self().id())) {
-				this.owner.disown(team.name());
+				this.owner.release(team.name());
 			}
 			double demand = this.limits.demandBeyondBase(team, alive.size(), this.ticker.nowMs());
 			if (demand > 0) {
