--- a/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
@@ -67,7 +67,7 @@
 	 * @param lentPerSecond the rate lent
 	 * @param askedAtMs when it was asked for; it runs from then
 	 */
-	public synchronized void lent(String team, double lentPerSecond, long askedAtMs) {
+	public synchronized void grantLoan(String team, double lentPerSecond, long askedAtMs) {
 		Bucket bucket = this.buckets.get(team);
 		if (bucket != null) {
 			bucket.lent = lentPerSecond;
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
@@ -193,7 +193,7 @@
 		try {
 			LimitGrant grant = from.id().equals(this.members.self().id()) ? lend(message)
 					: this.transport.call(from.address(), (client) -> client.lend(message));
-			grant.getSharePerSecond().forEach((team, share) -> this.limits.lent(team, share, askedAtMs));
+			grant.getSharePerSecond().forEach((team, share) -> this.limits.grantLoan(team, share, askedAtMs));
 		}
 		catch (TException ex) {
 			// The base share is kept; the next round asks the owner of that time.
--- a/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
@@ -55,7 +55,7 @@
 		for (long nowMs = 0; nowMs < 20_000; nowMs += 5) {
 			if (nowMs % LimitShares.RENEWAL_PERIOD_MS == 0) {
 				double demand = limits.demandBeyondBase(TEAM, ENTRIES, nowMs);
-				limits.lent(TEAM.name(), owner.lend(TEAM.name(), RATE, "entry-1", demand, nowMs), nowMs);
+				limits.grantLoan(TEAM.name(), owner.lend(TEAM.name(), RATE, "entry-1", demand, nowMs), nowMs);
 			}
 			started += (limits.tryStart(TEAM, ENTRIES, nowMs) == 0) ? 1 : 0;
 		}
@@ -87,7 +87,7 @@
 					double demand = entry.demandBeyondBase(TEAM, ENTRIES, nowMs);
 					lent[i] = owner.lend(TEAM.name(), RATE, "entry-" + i, demand, nowMs);
 					lentUntilMs[i] = nowMs + LimitShares.LOAN_MS;
-					entry.lent(TEAM.name(), lent[i], nowMs);
+					entry.grantLoan(TEAM.name(), lent[i], nowMs);
 					assertThat(validLoans(lent, lentUntilMs, nowMs)).isLessThanOrEqualTo(RATE / 2 + 1e-6);
 				}
 				if (random.nextInt(4) < 1 + i % 3) {
