--- a/whinjunction-core/src/main/java/io/whinjunction/limit/SharedRate.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/SharedRate.java
@@ -32,7 +32,7 @@
 	 * @param perSecond how many a second; 0 for none
 	 * @param nowMs the time
 	 */
-	public void set(double perSecond, long nowMs) {
+	public void setRate(double perSecond, long nowMs) {
 		saveUp(nowMs);
 		this.perSecond = perSecond;
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/limit/SharedRateTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/limit/SharedRateTests.java
@@ -16,7 +16,7 @@
 	@Test
 	void oneIsReadyAfterTheTimeThatItTakes() {
 		SharedRate rate = new SharedRate(0, 1000);
-		rate.set(0.5, 1000);
+		rate.setRate(0.5, 1000);
 
 		assertThat(rate.ready(2999)).isFalse();
 		assertThat(rate.ready(3000)).isTrue();
@@ -25,7 +25,7 @@
 	@Test
 	void aRateOfNothingIsNeverReady() {
 		SharedRate rate = new SharedRate(1, 0);
-		rate.set(0, 0);
+		rate.setRate(0, 0);
 
 		assertThat(rate.ready(1_000_000)).isFalse();
 	}
@@ -33,8 +33,8 @@
 	@Test
 	void aLowerRateHoldsFromThenOn() {
 		SharedRate rate = new SharedRate(0, 0);
-		rate.set(10, 0);
-		rate.set(0.1, 50);
+		rate.setRate(10, 0);
+		rate.setRate(0.1, 50);
 
 		assertThat(rate.ready(200)).isFalse();
 		assertThat(rate.ready(5050)).isTrue();
@@ -45,7 +45,7 @@
 			@ForAll @DoubleRange(min = 0, max = 1) double saved, @ForAll @IntRange(min = 1, max = 400) int pauseMs,
 			@ForAll @IntRange(min = 0, max = 60_000) int idleMs) {
 		SharedRate rate = new SharedRate(saved, 0);
-		rate.set(perSecond, 0);
+		rate.setRate(perSecond, 0);
 		int taken = 0;
 		for (long nowMs = idleMs; nowMs <= idleMs + 10_000; nowMs += pauseMs) {
 			if (rate.ready(nowMs)) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -125,7 +125,7 @@
 		}
 		long nowMs = this.router.nowMs();
 		if (nowMs - limit.partAtMs >= PART_KEPT_MS) {
-			limit.rate.set(part(upstream, limit.perSecond), nowMs);
+			limit.rate.setRate(part(upstream, limit.perSecond), nowMs);
 			limit.partAtMs = nowMs;
 		}
 		return limit.rate.ready(nowMs);
