--- a/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
@@ -95,8 +95,8 @@
 	 * @param paceMs how long its whole answer will have taken at this pace
 	 * @param allowedMs how long it may take
 	 */
-	public synchronized void paced(long nowMs, double paceMs, double allowedMs) {
-		this.limit.paced(nowMs, this.running, paceMs, allowedMs);
+	public synchronized void recordProgress(long nowMs, double paceMs, double allowedMs) {
+		this.limit.recordProgress(nowMs, this.running, paceMs, allowedMs);
 		startWaiting(nowMs);
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
@@ -83,7 +83,7 @@
 	 * @param paceMs how long its whole answer will have taken at this pace
 	 * @param allowedMs how long it may take
 	 */
-	void paced(double nowMs, int running, double paceMs, double allowedMs) {
+	void recordProgress(double nowMs, int running, double paceMs, double allowedMs) {
 		this.smoothedPart += SMOOTHING * (paceMs / allowedMs - this.smoothedPart);
 		this.firstGrowth &= this.smoothedPart < CALM_PART;
 		if (this.smoothedPart > CONGESTED_PART && nowMs >= this.quietUntilMs) {
--- a/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
@@ -80,7 +80,7 @@
 		}
 		assertThat(queue.waiting()).isPositive();
 		for (int token = 0; token < 1000; token++) {
-			queue.paced(token, 5000, 60_000);
+			queue.recordProgress(token, 5000, 60_000);
 		}
 		assertThat(queue.running()).isEqualTo(40);
 	}
@@ -94,7 +94,7 @@
 			queue.enter("a", 1, 60_000);
 		}
 		for (int token = 0; token < 10_000; token++) {
-			queue.paced(token, 20_000, 60_000);
+			queue.recordProgress(token, 20_000, 60_000);
 		}
 		assertThat(queue.running()).isEqualTo(40);
 	}
@@ -118,7 +118,7 @@
 			}
 			double tookMs = msEach * queue.running();
 			inTime += (tookMs <= 1000) ? 1 : 0;
-			queue.paced(i * 10, tookMs, 1000);
+			queue.recordProgress(i * 10, tookMs, 1000);
 			queue.leave("a", tookMs, i * 10);
 		}
 		return inTime;
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -142,7 +142,7 @@
 				entry.metrics().firstToken(this.body.model(), nowMs - this.record.startedAtMs());
 			}
 			double paceMs = (double) (nowMs - this.enteredMs) * this.body.maxTokens() / this.count;
-			entry.drafts().paced(nowMs, paceMs, this.allowedMs);
+			entry.drafts().recordProgress(nowMs, paceMs, this.allowedMs);
 			if (this.body.stream()) {
 				begin();
 				event(chunk(token, null).toString());
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -77,7 +77,7 @@
 		}
 		finally {
 			long nowMs = this.parts.ticker().nowMs();
-			this.parts.calls().paced(nowMs, nowMs - enteredMs, service.callTimeoutMs());
+			this.parts.calls().recordProgress(nowMs, nowMs - enteredMs, service.callTimeoutMs());
 			this.parts.calls().leave(passed.team().name(), nowMs - enteredMs, nowMs);
 		}
 	}
