--- a/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
@@ -107,7 +107,7 @@
 	 * @param nowMs the time
 	 */
 	public synchronized void leave(String team, double tookMs, long nowMs) {
-		this.limit.ended(this.running);
+		this.limit.recordCompletion(this.running);
 		this.smoothedServiceMs = (this.smoothedServiceMs == 0) ? tookMs
 				: this.smoothedServiceMs + SMOOTHING * (tookMs - this.smoothedServiceMs);
 		this.running--;
--- a/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
@@ -101,7 +101,7 @@
 	 * A request ended.
 	 * @param running how many were running, itself included
 	 */
-	void ended(int running) {
+	void recordCompletion(int running) {
 		grow(running, this.firstGrowth ? 1 : 1 / Math.sqrt(this.current));
 	}
 
