--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
@@ -193,7 +193,7 @@
 				return waiting.turn().get(AdmissionQueue.waitMs(DEADLINE_MS), TimeUnit.MILLISECONDS);
 			}
 			catch (TimeoutException ex) {
-				return !queue.giveUp(team, waiting);
+				return !queue.cancel(team, waiting);
 			}
 			catch (InterruptedException | ExecutionException ex) {
 				throw new IllegalStateException(ex);
--- a/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
@@ -122,7 +122,7 @@
 	 * @param ticket its ticket
 	 * @return {@code true} where it had not been started; {@code false}: it runs
 	 */
-	public synchronized boolean giveUp(String team, Ticket.Waiting ticket) {
+	public synchronized boolean cancel(String team, Ticket.Waiting ticket) {
 		boolean removed = this.teams.get(team).waiting.remove(ticket.turn());
 		if (removed) {
 			this.waiting--;
--- a/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
@@ -188,7 +188,7 @@
 		}
 		else if (action == 3 && !waiting.isEmpty()) {
 			Ticket.Waiting ticket = new ArrayList<>(waiting.keySet()).get(0);
-			assertThat(queue.giveUp(waiting.remove(ticket), ticket)).isTrue();
+			assertThat(queue.cancel(waiting.remove(ticket), ticket)).isTrue();
 		}
 		else if (!running.isEmpty()) {
 			leave(queue, running, waiting);
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -69,7 +69,7 @@
 			catch (TimeoutException ex) {
 				boolean mayEnd = mayEnd(parts, queue);
 				boolean over = leftMs <= 0 || exchange.gone() || !mayEnd;
-				if (over && queue.giveUp(team.name(), waiting)) {
+				if (over && queue.cancel(team.name(), waiting)) {
 					return mayEnd
 							? Refusal.temporary(Code.DEADLINE, "The request waited as long as its deadline allows.", 1)
 							: Gate.stoppingRefusal();
@@ -77,7 +77,7 @@
 			}
 			catch (InterruptedException ex) {
 				Thread.currentThread().interrupt();
-				return queue.giveUp(team.name(), waiting) ? Gate.stoppingRefusal() : null;
+				return queue.cancel(team.name(), waiting) ? Gate.stoppingRefusal() : null;
 			}
 			catch (ExecutionException ex) {
 				throw new IllegalStateException(ex);
