--- a/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
@@ -135,7 +135,7 @@
 	 * How long a request runs as a rule, waiting left out.
 	 * @return the smoothed time in milliseconds; 0 while none has ended
 	 */
-	public synchronized long usualMs() {
+	public synchronized long typicalServiceMs() {
 		return (long) this.smoothedServiceMs;
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -86,7 +86,7 @@
 	}
 
 	private static boolean mayEnd(EntryParts parts, AdmissionQueue queue) {
-		return parts.gate().leavesTimeFor(queue.usualMs());
+		return parts.gate().leavesTimeFor(queue.typicalServiceMs());
 	}
 
 	private static int seconds(long milliseconds) {
