--- a/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
@@ -276,9 +276,9 @@
 		 * It is refused.
 		 *
 		 * @param full whether the queue is full, rather than its deadline too near
-		 * @param comeBackMs when a slot is to be expected
+		 * @param retryAfterMs when a slot is to be expected
 		 */
-		record Refused(boolean full, long comeBackMs) implements Ticket {
+		record Refused(boolean full, long retryAfterMs) implements Ticket {
 		}
 
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
@@ -32,7 +32,7 @@
 		Ticket ticket = queue.enter("a", 1, PLENTY_MS);
 		assertThat(ticket).isInstanceOfSatisfying(Ticket.Refused.class, (refused) -> {
 			assertThat(refused.full()).isTrue();
-			assertThat(refused.comeBackMs()).isPositive();
+			assertThat(refused.retryAfterMs()).isPositive();
 		});
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -48,9 +48,9 @@
 		return switch (ticket) {
 			case Ticket.Admitted ignored -> null;
 			case Ticket.Refused refused when refused.full() -> Refusal.temporary(Code.OVERLOADED,
-					"More work is waiting than can be done.", seconds(refused.comeBackMs()));
+					"More work is waiting than can be done.", seconds(refused.retryAfterMs()));
 			case Ticket.Refused refused -> Refusal.temporary(Code.DEADLINE, "The answer would come after its deadline.",
-					seconds(refused.comeBackMs()));
+					seconds(refused.retryAfterMs()));
 			case Ticket.Waiting waiting ->
 				await(parts, queue, team, AdmissionQueue.waitMs(allowedMs), exchange, waiting);
 		};
