--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
@@ -190,7 +190,7 @@
 				return ticket instanceof Ticket.Admitted;
 			}
 			try {
-				return waiting.turn().get(AdmissionQueue.waitMs(DEADLINE_MS), TimeUnit.MILLISECONDS);
+				return waiting.admitted().get(AdmissionQueue.waitMs(DEADLINE_MS), TimeUnit.MILLISECONDS);
 			}
 			catch (TimeoutException ex) {
 				return !queue.cancel(team, waiting);
--- a/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
@@ -123,7 +123,7 @@
 	 * @return {@code true} where it had not been started; {@code false}: it runs
 	 */
 	public synchronized boolean cancel(String team, Ticket.Waiting ticket) {
-		boolean removed = this.teams.get(team).waiting.remove(ticket.turn());
+		boolean removed = this.teams.get(team).waiting.remove(ticket.admitted());
 		if (removed) {
 			this.waiting--;
 			forgetIdle(team);
@@ -266,10 +266,10 @@
 		/**
 		 * It waits.
 		 *
-		 * @param turn completes with {@code true} when it runs, with {@code false} when
+		 * @param admitted completes with {@code true} when it runs, with {@code false} when
 		 * it is refused to make room for a team that waits less
 		 */
-		record Waiting(CompletableFuture<Boolean> turn) implements Ticket {
+		record Waiting(CompletableFuture<Boolean> admitted) implements Ticket {
 		}
 
 		/**
--- a/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
@@ -46,7 +46,7 @@
 		}
 		Ticket.Waiting small = (Ticket.Waiting) queue.enter("small", 1, PLENTY_MS);
 		queue.leave("large", 10, 1);
-		assertThat(small.turn()).isDone();
+		assertThat(small.admitted()).isDone();
 	}
 
 	@Test
@@ -136,8 +136,8 @@
 		}
 		assertThat(queue.enter("large", 1, PLENTY_MS)).isInstanceOf(Ticket.Refused.class);
 		assertThat(queue.enter("small", 1, PLENTY_MS)).isInstanceOf(Ticket.Waiting.class);
-		assertThat(large.get(3).turn().join()).isFalse();
-		assertThat(large.subList(0, 3)).noneMatch((ticket) -> ticket.turn().isDone());
+		assertThat(large.get(3).admitted().join()).isFalse();
+		assertThat(large.subList(0, 3)).noneMatch((ticket) -> ticket.admitted().isDone());
 	}
 
 	// The large team's queue is long enough for many deadlines. A small team's request
@@ -180,7 +180,7 @@
 				case Ticket.Admitted ignored -> running.add(team);
 				case Ticket.Waiting ticket -> {
 					waiting.put(ticket, team);
-					waiting.keySet().removeIf((other) -> other.turn().isDone() && !other.turn().join());
+					waiting.keySet().removeIf((other) -> other.admitted().isDone() && !other.admitted().join());
 				}
 				case Ticket.Refused ignored -> {
 				}
@@ -198,7 +198,7 @@
 	private static void leave(AdmissionQueue queue, Deque<String> running, Map<Ticket.Waiting, String> waiting) {
 		queue.leave(running.poll(), 10, 1);
 		for (Ticket.Waiting ticket : List.copyOf(waiting.keySet())) {
-			if (ticket.turn().isDone() && ticket.turn().join()) {
+			if (ticket.admitted().isDone() && ticket.admitted().join()) {
 				running.add(waiting.remove(ticket));
 			}
 		}
