--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
@@ -129,8 +129,8 @@
 		Load(BenchFleet fleet) {
 			this.fleet = fleet;
 			for (int i = 0; i < BenchFleet.ENTRIES; i++) {
-				this.drafts.add(new AdmissionQueue(ConcurrencyLimit.learned(256), 256));
-				this.calls.add(new AdmissionQueue(ConcurrencyLimit.learned(64), 64));
+				this.drafts.add(new AdmissionQueue(ConcurrencyLimit.adaptive(256), 256));
+				this.calls.add(new AdmissionQueue(ConcurrencyLimit.adaptive(64), 64));
 			}
 		}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
@@ -68,7 +68,7 @@
 	 * @param most the most it may become
 	 * @return the limit, beginning low
 	 */
-	public static ConcurrencyLimit learned(int most) {
+	public static ConcurrencyLimit adaptive(int most) {
 		return new ConcurrencyLimit(Math.min(4, most), Math.min(16, most), most);
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
@@ -64,7 +64,7 @@
 	// run at once; without a learned limit all 256 would run and every one would be late.
 	@Test
 	void theLimitSettlesWhereAnswersAreInTimeAndUpstreamsAreBusy() {
-		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.learned(256), 64);
+		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 64);
 		offerWhatIsTaken(queue, 0, 1000, 10);
 		assertThat(offerWhatIsTaken(queue, 1000, 4000, 10)).isEqualTo(3000);
 		assertThat(queue.limit()).isBetween(30, 70);
@@ -74,7 +74,7 @@
 	// drafts let it grow, most callers would wait in vain beside idle engines.
 	@Test
 	void aFreshLimitGrowsWhileLongAnswersRun() {
-		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.learned(256), 256);
+		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 256);
 		for (int i = 0; i < 40; i++) {
 			queue.enter("a", 1, 60_000);
 		}
@@ -89,7 +89,7 @@
 	// growth ended at once and nine of forty long drafts waited in vain.
 	@Test
 	void aLimitGrowsWhileLongAnswersRunAtAFairPaceToo() {
-		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.learned(256), 256);
+		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 256);
 		for (int i = 0; i < 40; i++) {
 			queue.enter("a", 1, 60_000);
 		}
@@ -103,7 +103,7 @@
 	// much. Answers must be in time again before long, not late for as long as it lasts.
 	@Test
 	void theLimitFallsWhenUpstreamsSlowDown() {
-		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.learned(256), 64);
+		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 64);
 		offerWhatIsTaken(queue, 0, 2000, 10);
 		offerWhatIsTaken(queue, 2000, 3000, 40);
 		assertThat(offerWhatIsTaken(queue, 3000, 4000, 40)).isEqualTo(1000);
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -128,8 +128,8 @@
 				() -> System.currentTimeMillis() / 1000);
 		Gate gate = new Gate(configuration, freshness, settings.failureDomain(), this.ticker);
 		this.parts = new EntryParts(settings, this.ticker, gate, upstreams, members, limits,
-				new AdmissionQueue(ConcurrencyLimit.learned(settings.limits().streams()), settings.limits().waiting()),
-				new AdmissionQueue(ConcurrencyLimit.learned(settings.limits().plainCalls()),
+				new AdmissionQueue(ConcurrencyLimit.adaptive(settings.limits().streams()), settings.limits().waiting()),
+				new AdmissionQueue(ConcurrencyLimit.adaptive(settings.limits().plainCalls()),
 						settings.limits().plainCalls()),
 				new PipelineChooser(upstreams, ChoicePolicy.standard(), this.ticker, random), engines, caller, claims,
 				new RetryBudget(RETRY_PART, Math.max(RETRY_RESERVE, settings.limits().streams())), new EntryMetrics(),
