--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
@@ -18,7 +18,7 @@
 import io.whinjunction.http.server.HttpServer;
 import io.whinjunction.http.server.HttpServerSettings;
 import io.whinjunction.http.server.Reply;
-import io.whinjunction.lease.LeaseKeeper;
+import io.whinjunction.lease.LeaderElector;
 import io.whinjunction.order.PlacementPlanner;
 import io.whinjunction.order.PlacementPlanner.Move;
 import io.whinjunction.pipeline.Upstream;
@@ -62,7 +62,7 @@
 
 	private final ConfigurationHolder configuration = new ConfigurationHolder();
 
-	private final LeaseKeeper lease;
+	private final LeaderElector lease;
 
 	private final ClaimSweeper sweeper;
 
@@ -81,7 +81,7 @@
 		HttpCaller caller = this.closer.register(new HttpCaller(CONNECT_MS, IDLE_CONNECTION_MS));
 		this.store = new HttpObjectStore(caller, settings.platform(), settings.platformMs());
 		this.engines = new HttpEngineClient(caller);
-		this.lease = new LeaseKeeper(this.store, LEASE_KEY, settings.id(), settings.leaseMs(), this.ticker,
+		this.lease = new LeaderElector(this.store, LEASE_KEY, settings.id(), settings.leaseMs(), this.ticker,
 				() -> UUID.randomUUID().toString());
 		this.sweeper = new ClaimSweeper(this.store, settings.claimsKeptS(), () -> System.currentTimeMillis() / 1000);
 		this.closer.register(
--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseKeeper.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaderElector.java
@@ -18,7 +18,7 @@
  * {@link LeaseTerm} decides; this class makes the calls. Confined to one thread, but for
  * {@link #holds()} and {@link #fencing()}.
  */
-public final class LeaseKeeper {
+public final class LeaderElector {
 
 	/** This store never comes back from an older copy. */
 	private static final long ONLY_ERA = 0;
@@ -44,7 +44,7 @@
 	 * @param ticker the clock
 	 * @param nonces values that no other writer has
 	 */
-	public LeaseKeeper(ObjectStore store, String key, String holder, long timeToLiveMs, Ticker ticker,
+	public LeaderElector(ObjectStore store, String key, String holder, long timeToLiveMs, Ticker ticker,
 			Supplier<String> nonces) {
 		this.store = store;
 		this.key = key;
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/LeaseTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/LeaseTests.java
@@ -9,7 +9,7 @@
 import io.whinjunction.engine.EngineClient.LoadOrder;
 import io.whinjunction.engine.EngineClient.Step;
 import io.whinjunction.engine.EngineClient.StepResult;
-import io.whinjunction.lease.LeaseKeeper;
+import io.whinjunction.lease.LeaderElector;
 import io.whinjunction.standins.FakeEngine;
 import io.whinjunction.standins.FakeObjectStore;
 import io.whinjunction.standins.FakeObjectStore.Fault;
@@ -43,7 +43,7 @@
 	@Property(seed = "91", tries = 500)
 	void atMostOneActsAndFencingNumbersOnlyGoUp(@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
 		Random random = new Random(seed);
-		List<LeaseKeeper> keepers = List.of(keeper("a"), keeper("b"), keeper("c"));
+		List<LeaderElector> keepers = List.of(keeper("a"), keeper("b"), keeper("c"));
 		long[] pausedUntilMs = new long[3];
 		long highest = 0;
 		for (int i = 0; i < 300; i++) {
@@ -59,10 +59,10 @@
 					keepers.get(k).step();
 				}
 			}
-			List<LeaseKeeper> holding = new ArrayList<>(keepers);
+			List<LeaderElector> holding = new ArrayList<>(keepers);
 			holding.removeIf((keeper) -> !keeper.holds());
 			assertThat(holding).hasSizeLessThanOrEqualTo(1);
-			for (LeaseKeeper holder : holding) {
+			for (LeaderElector holder : holding) {
 				assertThat(holder.fencing()).isGreaterThanOrEqualTo(highest);
 				highest = holder.fencing();
 			}
@@ -71,8 +71,8 @@
 
 	@Test
 	void anotherCandidateTakesOverAfterTheTimeToLive() {
-		LeaseKeeper a = keeper("a");
-		LeaseKeeper b = keeper("b");
+		LeaderElector a = keeper("a");
+		LeaderElector b = keeper("b");
 		a.step();
 		b.step();
 		assertThat(a.holds()).isTrue();
@@ -85,10 +85,10 @@
 
 	@Test
 	void aResignedLeaseIsTakenAtOnce() {
-		LeaseKeeper a = keeper("a");
+		LeaderElector a = keeper("a");
 		a.step();
 		a.resign();
-		LeaseKeeper b = keeper("b");
+		LeaderElector b = keeper("b");
 		b.step();
 		assertThat(b.holds()).isTrue();
 	}
@@ -100,10 +100,10 @@
 	// still acts.
 	@Test
 	void aReadThatTookLongDoesNotMakeTheLeaseOlder() {
-		LeaseKeeper a = keeper("a");
+		LeaderElector a = keeper("a");
 		a.step();
 		AtomicBoolean slow = new AtomicBoolean(true);
-		LeaseKeeper b = new LeaseKeeper(new InterleavedStore(this.store, () -> {
+		LeaderElector b = new LeaderElector(new InterleavedStore(this.store, () -> {
 			if (slow.getAndSet(false)) {
 				this.ticker.advance(TTL_MS / 2);
 				a.step();
@@ -144,8 +144,8 @@
 		return new Step("s", 1, position, LOWER, generation, List.of("x"), 1);
 	}
 
-	private LeaseKeeper keeper(String id) {
-		return new LeaseKeeper(this.store, "lease", id, TTL_MS, this.ticker, () -> id + this.nonces++);
+	private LeaderElector keeper(String id) {
+		return new LeaderElector(this.store, "lease", id, TTL_MS, this.ticker, () -> id + this.nonces++);
 	}
 
 }
