--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
@@ -120,7 +120,7 @@
 
 	private void step() {
 		boolean held = this.lease.holds();
-		this.lease.step();
+		this.lease.renewOrAcquire();
 		if (this.lease.holds() != held) {
 			logger.atInfo()
 				.log("controller %s %s the lease, fencing %d", this.settings.id(),
--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaderElector.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaderElector.java
@@ -57,7 +57,7 @@
 	/**
 	 * Renews or tries to take over; called a few times per time to live.
 	 */
-	public void step() {
+	public void renewOrAcquire() {
 		long startMs = this.ticker.nowMs();
 		switch (this.store.read(this.key)) {
 			case Read.Found found -> consider(found, startMs);
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/LeaseTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/LeaseTests.java
@@ -56,7 +56,7 @@
 					pausedUntilMs[k] = this.ticker.nowMs() + random.nextInt(20_000);
 				}
 				if (this.ticker.nowMs() >= pausedUntilMs[k]) {
-					keepers.get(k).step();
+					keepers.get(k).renewOrAcquire();
 				}
 			}
 			List<LeaderElector> holding = new ArrayList<>(keepers);
@@ -73,11 +73,11 @@
 	void anotherCandidateTakesOverAfterTheTimeToLive() {
 		LeaderElector a = keeper("a");
 		LeaderElector b = keeper("b");
-		a.step();
-		b.step();
+		a.renewOrAcquire();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isTrue();
 		this.ticker.advance(TTL_MS);
-		b.step();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isFalse();
 		assertThat(b.holds()).isTrue();
 		assertThat(b.fencing()).isGreaterThan(a.fencing());
@@ -86,10 +86,10 @@
 	@Test
 	void aResignedLeaseIsTakenAtOnce() {
 		LeaderElector a = keeper("a");
-		a.step();
+		a.renewOrAcquire();
 		a.resign();
 		LeaderElector b = keeper("b");
-		b.step();
+		b.renewOrAcquire();
 		assertThat(b.holds()).isTrue();
 	}
 
@@ -101,18 +101,18 @@
 	@Test
 	void aReadThatTookLongDoesNotMakeTheLeaseOlder() {
 		LeaderElector a = keeper("a");
-		a.step();
+		a.renewOrAcquire();
 		AtomicBoolean slow = new AtomicBoolean(true);
 		LeaderElector b = new LeaderElector(new InterleavedStore(this.store, () -> {
 			if (slow.getAndSet(false)) {
 				this.ticker.advance(TTL_MS / 2);
-				a.step();
+				a.renewOrAcquire();
 			}
 		}), "lease", "b", TTL_MS, this.ticker, () -> "b" + this.nonces++);
-		b.step();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isTrue();
 		this.ticker.advance(TTL_MS / 2);
-		b.step();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isTrue();
 		assertThat(b.holds()).isFalse();
 	}
