--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaderElector.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaderElector.java
@@ -15,7 +15,7 @@
 /**
  * Holds, or waits for, a lease in the object API.
  * <p>
- * {@link LeaseTerm} decides; this class makes the calls. Confined to one thread, but for
+ * {@link LeaseCandidate} decides; this class makes the calls. Confined to one thread, but for
  * {@link #holds()} and {@link #fencing()}.
  */
 public final class LeaderElector {
@@ -29,7 +29,7 @@
 
 	private final String holder;
 
-	private final LeaseTerm term;
+	private final LeaseCandidate term;
 
 	private final Ticker ticker;
 
@@ -49,7 +49,7 @@
 		this.store = store;
 		this.key = key;
 		this.holder = holder;
-		this.term = new LeaseTerm(holder, timeToLiveMs);
+		this.term = new LeaseCandidate(holder, timeToLiveMs);
 		this.ticker = ticker;
 		this.nonces = nonces;
 	}
@@ -102,7 +102,7 @@
 			.ifPresent((claim) -> write(claim, startMs));
 	}
 
-	private void write(LeaseTerm.Claim claim, long startMs) {
+	private void write(LeaseCandidate.Claim claim, long startMs) {
 		String nonce = this.nonces.get();
 		Record record = new Record(this.holder, claim.fencing(), nonce);
 		Write write = this.store.write(this.key, record.toJson(), claim.expectedVersion().revision());
--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseTerm.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
@@ -21,7 +21,7 @@
  * start of the last confirmed write, and not beyond the era of that write. Writes are
  * confined to one thread; {@link #holds} and {@link #fencing} are safe for all.
  */
-public final class LeaseTerm {
+public final class LeaseCandidate {
 
 	/** The part of the time to live during which a holder acts. */
 	static final double ACT_PART = 0.6;
@@ -54,7 +54,7 @@
 	 * @param timeToLiveMs after how long without a change others take over, in
 	 * milliseconds
 	 */
-	public LeaseTerm(String holder, long timeToLiveMs) {
+	public LeaseCandidate(String holder, long timeToLiveMs) {
 		this.holder = holder;
 		this.timeToLiveMs = timeToLiveMs;
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/lease/LeaseTermTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/lease/LeaseCandidateTests.java
@@ -8,11 +8,11 @@
 /**
  * The decisions of a candidate for the lease.
  */
-class LeaseTermTests {
+class LeaseCandidateTests {
 
 	private static final long TTL_MS = 1800;
 
-	private final LeaseTerm term = new LeaseTerm("a", TTL_MS);
+	private final LeaseCandidate term = new LeaseCandidate("a", TTL_MS);
 
 	@Test
 	void aLeaseThatChangesIsLeftToItsHolder() {
@@ -25,12 +25,12 @@
 	void aLeaseThatStandsStillIsTakenWithAHigherFencingNumber() {
 		this.term.seen("b", 3, v(10), 0);
 
-		assertThat(this.term.seen("b", 3, v(10), TTL_MS)).contains(new LeaseTerm.Claim(11, v(10)));
+		assertThat(this.term.seen("b", 3, v(10), TTL_MS)).contains(new LeaseCandidate.Claim(11, v(10)));
 	}
 
 	@Test
 	void aLeaseThatWasGivenUpIsTakenAtOnce() {
-		assertThat(this.term.seen("", 3, v(10), 0)).contains(new LeaseTerm.Claim(11, v(10)));
+		assertThat(this.term.seen("", 3, v(10), 0)).contains(new LeaseCandidate.Claim(11, v(10)));
 	}
 
 	// Two routers give orders: the holder was paused in the middle and does not know that
@@ -38,7 +38,7 @@
 	// over.
 	@Test
 	void aHolderStopsBeforeOthersMayTakeOver() {
-		this.term.written(new LeaseTerm.Claim(4, v(10)), v(11), 0);
+		this.term.written(new LeaseCandidate.Claim(4, v(10)), v(11), 0);
 
 		assertThat(this.term.holds(1000)).isTrue();
 		assertThat(this.term.holds(1080)).isFalse();
@@ -47,9 +47,9 @@
 
 	@Test
 	void aHolderRenewsItsLastVersion() {
-		this.term.written(new LeaseTerm.Claim(4, v(10)), v(11), 0);
+		this.term.written(new LeaseCandidate.Claim(4, v(10)), v(11), 0);
 
-		assertThat(this.term.renewal(400)).contains(new LeaseTerm.Claim(4, v(11)));
+		assertThat(this.term.renewal(400)).contains(new LeaseCandidate.Claim(4, v(11)));
 	}
 
 	// A router starts again under its old name: the lease still names it, but its earlier
@@ -57,12 +57,12 @@
 	@Test
 	void anEarlierLifeOfTheSameNameIsNotTheHolder() {
 		assertThat(this.term.seen("a", 4, v(10), 0)).isEmpty();
-		assertThat(this.term.seen("a", 4, v(10), TTL_MS)).contains(new LeaseTerm.Claim(11, v(10)));
+		assertThat(this.term.seen("a", 4, v(10), TTL_MS)).contains(new LeaseCandidate.Claim(11, v(10)));
 	}
 
 	@Test
 	void whoHasLostItHoldsItNoMore() {
-		this.term.written(new LeaseTerm.Claim(4, v(10)), v(11), 0);
+		this.term.written(new LeaseCandidate.Claim(4, v(10)), v(11), 0);
 		this.term.lost();
 
 		assertThat(this.term.holds(1)).isFalse();
@@ -100,13 +100,13 @@
 
 	@Test
 	void whoHeldItWhenTheStoreCameBackTakesItAgainAtOnceUnlessAnotherHas() {
-		this.term.written(new LeaseTerm.Claim(4, v(10)), v(11), 0);
+		this.term.written(new LeaseCandidate.Claim(4, v(10)), v(11), 0);
 		this.term.returned(500);
 		assertThat(this.term.holds(500)).isFalse();
 
 		StoreVersion copied = new StoreVersion(2, 8);
 		assertThat(this.term.seen("a", 3, copied, 600))
-			.contains(new LeaseTerm.Claim(FencingNumbers.next(0, copied), copied));
+			.contains(new LeaseCandidate.Claim(FencingNumbers.next(0, copied), copied));
 		assertThat(this.term.absent(2, 600)).isPresent();
 
 		assertThat(this.term.seen("b", FencingNumbers.next(0, copied), new StoreVersion(2, 12), 700)).isEmpty();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
@@ -7,14 +7,14 @@
 
 import com.google.common.flogger.FluentLogger;
 import io.netty.channel.EventLoop;
-import io.whinjunction.lease.LeaseTerm;
+import io.whinjunction.lease.LeaseCandidate;
 import io.whinjunction.store.StoreVersion;
 import io.whinjunction.time.Ticker;
 
 /**
  * Holds, or waits for, the lease under which one router plans layers.
  * <p>
- * {@link LeaseTerm} decides; this class makes the calls. The holder renews without
+ * {@link LeaseCandidate} decides; this class makes the calls. The holder renews without
  * reading; candidates look at the store only while no router says that it leads. Stale
  * reads would not do: in a spell of old history a lease that nobody held looked renewed
  * for seven seconds. Confined to the event loop.
@@ -45,7 +45,7 @@
 
 	private final BooleanSupplier otherLeads;
 
-	private final LeaseTerm term;
+	private final LeaseCandidate term;
 
 	private boolean leading;
 
@@ -65,7 +65,7 @@
 		this.name = name;
 		this.ticker = ticker;
 		this.otherLeads = otherLeads;
-		this.term = new LeaseTerm(name, TIME_TO_LIVE_MS);
+		this.term = new LeaseCandidate(name, TIME_TO_LIVE_MS);
 	}
 
 	void start() {
@@ -89,7 +89,7 @@
 		}
 	}
 
-	private void giveUp(LeaseTerm.Claim claim) {
+	private void giveUp(LeaseCandidate.Claim claim) {
 		LeaseObject free = new LeaseObject("", claim.fencing(), nonce(), claim.expectedVersion());
 		// Where the reply is lost, the lease lapses by itself.
 		this.store.writeLease(free, (reply) -> logger.atInfo().log("event=lease-given-up reply=\"%s\"", reply));
@@ -113,7 +113,7 @@
 		}
 		long nowMs = this.ticker.nowMs();
 		noteLeading(this.term.holds(nowMs));
-		Optional<LeaseTerm.Claim> renewal = this.term.renewal(nowMs);
+		Optional<LeaseCandidate.Claim> renewal = this.term.renewal(nowMs);
 		if (renewal.isPresent()) {
 			write(renewal.get(), nowMs);
 		}
@@ -137,11 +137,11 @@
 		}
 	}
 
-	private void claim(Optional<LeaseTerm.Claim> claim) {
+	private void claim(Optional<LeaseCandidate.Claim> claim) {
 		claim.ifPresentOrElse((present) -> write(present, this.ticker.nowMs()), () -> again(LOOK_MS));
 	}
 
-	private void write(LeaseTerm.Claim claim, long startMs) {
+	private void write(LeaseCandidate.Claim claim, long startMs) {
 		if (this.stopped) {
 			return;
 		}
@@ -150,7 +150,7 @@
 				(reply) -> written(reply, claim, nonce, startMs));
 	}
 
-	private void written(StoreReply<LeaseObject> reply, LeaseTerm.Claim claim, String nonce, long startMs) {
+	private void written(StoreReply<LeaseObject> reply, LeaseCandidate.Claim claim, String nonce, long startMs) {
 		switch (reply) {
 			case StoreReply.Found<LeaseObject> found -> confirm(claim, found.value().version(), startMs);
 			case StoreReply.Unavailable<LeaseObject> ignored ->
@@ -172,7 +172,7 @@
 		}
 	}
 
-	private void confirm(LeaseTerm.Claim claim, StoreVersion version, long startMs) {
+	private void confirm(LeaseCandidate.Claim claim, StoreVersion version, long startMs) {
 		this.term.written(claim, version, startMs);
 		noteLeading(true);
 		again(RENEW_MS);
