--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
@@ -37,7 +37,7 @@
 
 	private long seenSinceMs;
 
-	private long returnedAtMs = NEVER;
+	private long restoredAtMs = NEVER;
 
 	/** Whether this process was the holder when the store came back. */
 	private boolean heldAtReturn;
@@ -63,9 +63,9 @@
 	 * The store has come back from an older copy.
 	 * @param nowMs when that was heard
 	 */
-	public void returned(long nowMs) {
+	public void storeRestored(long nowMs) {
 		this.heldAtReturn = holds(nowMs);
-		this.returnedAtMs = nowMs;
+		this.restoredAtMs = nowMs;
 		this.seenVersion = null;
 		lost();
 	}
@@ -92,7 +92,7 @@
 	// Beside the last holder nobody can have acted when the store came back, so that one
 	// need not wait.
 	private boolean settled(long nowMs) {
-		return this.heldAtReturn || nowMs - this.returnedAtMs >= this.timeToLiveMs;
+		return this.heldAtReturn || nowMs - this.restoredAtMs >= this.timeToLiveMs;
 	}
 
 	/**
--- a/whinjunction-core/src/test/java/io/whinjunction/lease/LeaseCandidateTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/lease/LeaseCandidateTests.java
@@ -91,7 +91,7 @@
 	// The last holder may still act, and knows nothing of the store's return.
 	@Test
 	void aLeaseThatTheStoreHasLostIsNotTakenBeforeItsLastHolderHasStopped() {
-		this.term.returned(10_000);
+		this.term.storeRestored(10_000);
 
 		assertThat(this.term.absent(2, 10_000 + TTL_MS - 1)).isEmpty();
 		assertThat(this.term.seen("", 3, new StoreVersion(2, 5), 10_000 + TTL_MS - 1)).isEmpty();
@@ -101,7 +101,7 @@
 	@Test
 	void whoHeldItWhenTheStoreCameBackTakesItAgainAtOnceUnlessAnotherHas() {
 		this.term.written(new LeaseCandidate.Claim(4, v(10)), v(11), 0);
-		this.term.returned(500);
+		this.term.storeRestored(500);
 		assertThat(this.term.holds(500)).isFalse();
 
 		StoreVersion copied = new StoreVersion(2, 8);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
@@ -97,7 +97,7 @@
 
 	/** The store has come back from an older copy: whoever led does so no more. */
 	void storeReturned() {
-		this.term.returned(this.ticker.nowMs());
+		this.term.storeRestored(this.ticker.nowMs());
 		noteLeading(false);
 	}
 
