--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
@@ -40,7 +40,7 @@
 	private long restoredAtMs = NEVER;
 
 	/** Whether this process was the holder when the store came back. */
-	private boolean heldAtReturn;
+	private boolean heldAtRestore;
 
 	private Claim current;
 
@@ -64,7 +64,7 @@
 	 * @param nowMs when that was heard
 	 */
 	public void storeRestored(long nowMs) {
-		this.heldAtReturn = holds(nowMs);
+		this.heldAtRestore = holds(nowMs);
 		this.restoredAtMs = nowMs;
 		this.seenVersion = null;
 		lost();
@@ -74,8 +74,8 @@
 	 * Whether this process was the holder when the store came back.
 	 * @return {@code true} until it has written the lease again, or another one has
 	 */
-	public boolean heldAtReturn() {
-		return this.heldAtReturn;
+	public boolean heldAtRestore() {
+		return this.heldAtRestore;
 	}
 
 	/**
@@ -92,7 +92,7 @@
 	// Beside the last holder nobody can have acted when the store came back, so that one
 	// need not wait.
 	private boolean settled(long nowMs) {
-		return this.heldAtReturn || nowMs - this.restoredAtMs >= this.timeToLiveMs;
+		return this.heldAtRestore || nowMs - this.restoredAtMs >= this.timeToLiveMs;
 	}
 
 	/**
@@ -114,8 +114,8 @@
 		// been the holder.
 		boolean ours = seenHolder.equals(this.holder) && seenFencing == this.fencing && holds(nowMs);
 		// Another one has written it in this era.
-		this.heldAtReturn &= !FencingNumbers.ofEra(seenFencing, version.era());
-		boolean free = (seenHolder.isEmpty() || this.heldAtReturn) && settled(nowMs);
+		this.heldAtRestore &= !FencingNumbers.ofEra(seenFencing, version.era());
+		boolean free = (seenHolder.isEmpty() || this.heldAtRestore) && settled(nowMs);
 		boolean lapsed = nowMs - this.seenSinceMs >= this.timeToLiveMs;
 		if (ours) {
 			return Optional.of(new Claim(seenFencing, version));
@@ -140,7 +140,7 @@
 	 * @param startMs when the write was begun
 	 */
 	public void written(Claim claim, StoreVersion version, long startMs) {
-		this.heldAtReturn = false;
+		this.heldAtRestore = false;
 		this.current = new Claim(claim.fencing(), version);
 		this.fencing = claim.fencing();
 		this.renewedAtMs = startMs;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
@@ -117,7 +117,7 @@
 		if (renewal.isPresent()) {
 			write(renewal.get(), nowMs);
 		}
-		else if (this.otherLeads.getAsBoolean() && !this.term.heldAtReturn()) {
+		else if (this.otherLeads.getAsBoolean() && !this.term.heldAtRestore()) {
 			again(LOOK_MS);
 		}
 		else {
