--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
@@ -17,14 +17,14 @@
  * stopped.
  * <p>
  * Invariants: fencing numbers only go up, also from one era of the store to the next;
- * {@link #holds} is true only within {@link #ACT_PART} of the time to live after the
+ * {@link #holds} is true only within {@link #ACTIVE_RATIO} of the time to live after the
  * start of the last confirmed write, and not beyond the era of that write. Writes are
  * confined to one thread; {@link #holds} and {@link #fencing} are safe for all.
  */
 public final class LeaseCandidate {
 
 	/** The part of the time to live during which a holder acts. */
-	static final double ACT_PART = 0.6;
+	static final double ACTIVE_RATIO = 0.6;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -158,7 +158,7 @@
 	 * @return {@code false} as soon as another might hold it
 	 */
 	public boolean holds(long nowMs) {
-		return nowMs - this.renewedAtMs < this.timeToLiveMs * ACT_PART;
+		return nowMs - this.renewedAtMs < this.timeToLiveMs * ACTIVE_RATIO;
 	}
 
 	/**
