--- a/whinjunction-core/src/main/java/io/whinjunction/lease/FencingNumbers.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/FencingNumbers.java
@@ -29,7 +29,7 @@
 	 * @return a number that no earlier holder has had
 	 */
 	static long next(long seen, StoreVersion replaced) {
-		return Math.max(seen, highestUntil(replaced)) + 1;
+		return Math.max(seen, highestUpTo(replaced)) + 1;
 	}
 
 	/**
@@ -47,7 +47,7 @@
 	 * @param version the version of the lease
 	 * @return the number
 	 */
-	static long highestUntil(StoreVersion version) {
+	static long highestUpTo(StoreVersion version) {
 		return version.era() * NUMBERS_PER_ERA + version.revision();
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/lease/LeaseCandidateTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/lease/LeaseCandidateTests.java
@@ -72,7 +72,7 @@
 	// one number: the copy from which the store came back knows neither.
 	@Test
 	void fencingNumbersOfALaterEraAreAboveAllOfTheOneBefore() {
-		long highestBefore = FencingNumbers.highestUntil(new StoreVersion(1, 1_000_000));
+		long highestBefore = FencingNumbers.highestUpTo(new StoreVersion(1, 1_000_000));
 
 		assertThat(FencingNumbers.next(0, new StoreVersion(2, 0))).isGreaterThan(highestBefore);
 	}
