--- a/whinjunction-core/src/main/java/io/whinjunction/lease/FencingNumbers.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/FencingNumbers.java
@@ -38,7 +38,7 @@
 	 * @param era the era
 	 * @return {@code false} for the numbers that a copy of the store has kept
 	 */
-	static boolean ofEra(long number, long era) {
+	static boolean issuedInEra(long number, long era) {
 		return number > era * NUMBERS_PER_ERA;
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
@@ -114,7 +114,7 @@
 		// been the holder.
 		boolean ours = seenHolder.equals(this.holder) && seenFencing == this.fencing && holds(nowMs);
 		// Another one has written it in this era.
-		this.heldAtRestore &= !FencingNumbers.ofEra(seenFencing, version.era());
+		this.heldAtRestore &= !FencingNumbers.issuedInEra(seenFencing, version.era());
 		boolean free = (seenHolder.isEmpty() || this.heldAtRestore) && settled(nowMs);
 		boolean lapsed = nowMs - this.seenSinceMs >= this.timeToLiveMs;
 		if (ours) {
