--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -21,7 +21,7 @@
  * and a claim without an answer is never sent again by anybody else, since nobody can
  * tell whether its holder has sent it.
  * <p>
- * Invariants: {@link Claimed.Mine} is given for an action at most once, unless the claim
+ * Invariants: {@link ClaimResult.Mine} is given for an action at most once, unless the claim
  * was {@linkplain #release released} unsent; a claim given up unsent is taken back by
  * this process alone, once. Safe for all threads; calls block on the platform.
  */
@@ -68,20 +68,20 @@
 	 * @param bodyHash the hash of what would be sent
 	 * @return whether the caller may send it now
 	 */
-	public Claimed claim(ActionName action, String bodyHash) {
+	public ClaimResult claim(ActionName action, String bodyHash) {
 		String nonce = this.nonces.get();
 		ClaimRecord record = new ClaimRecord(nonce, bodyHash, this.epochS.getAsLong(), null);
 		for (int i = 0; i < WRITE_TRIES; i++) {
 			switch (this.store.write(action.objectKey(), record.toJson(), ObjectStore.ABSENT)) {
 				case Write.Written written -> {
-					return new Claimed.Mine(new Claim(action, nonce, bodyHash, written.version()));
+					return new ClaimResult.Mine(new Claim(action, nonce, bodyHash, written.version()));
 				}
 				case Write.Conflict ignored -> {
 					return readBack(action, nonce, bodyHash);
 				}
 				case Write.Uncertain ignored -> {
-					Claimed seen = readBack(action, nonce, bodyHash);
-					if (!(seen instanceof Claimed.NotThere)) {
+					ClaimResult seen = readBack(action, nonce, bodyHash);
+					if (!(seen instanceof ClaimResult.NotThere)) {
 						return seen;
 					}
 					// Neither written nor refused as far as can be seen: the same nonce
@@ -90,7 +90,7 @@
 			}
 		}
 		giveUp(new Claim(action, nonce, bodyHash, ObjectStore.ABSENT));
-		return new Claimed.StoreDown();
+		return new ClaimResult.StoreDown();
 	}
 
 	/**
@@ -145,25 +145,25 @@
 		return givenUpClaims().size();
 	}
 
-	private Claimed readBack(ActionName action, String nonce, String bodyHash) {
+	private ClaimResult readBack(ActionName action, String nonce, String bodyHash) {
 		return switch (this.store.read(action.objectKey())) {
 			case Read.Found found -> judge(action, found, nonce, bodyHash);
-			case Read.Absent ignored -> new Claimed.NotThere();
-			case Read.Unavailable ignored -> new Claimed.NotThere();
+			case Read.Absent ignored -> new ClaimResult.NotThere();
+			case Read.Unavailable ignored -> new ClaimResult.NotThere();
 		};
 	}
 
-	private Claimed judge(ActionName action, Read.Found found, String nonce, String bodyHash) {
+	private ClaimResult judge(ActionName action, Read.Found found, String nonce, String bodyHash) {
 		ClaimRecord record = ClaimRecord.parse(found.value());
 		if (!record.bodyHash().equals(bodyHash)) {
-			return new Claimed.OtherBody();
+			return new ClaimResult.OtherBody();
 		}
 		if (record.answer() != null) {
-			return new Claimed.Answered(record.answer());
+			return new ClaimResult.Answered(record.answer());
 		}
 		boolean ours = record.nonce().equals(nonce) || takeBack(record.nonce()) != null;
-		return ours ? new Claimed.Mine(new Claim(action, record.nonce(), bodyHash, found.version()))
-				: new Claimed.InDoubt();
+		return ours ? new ClaimResult.Mine(new Claim(action, record.nonce(), bodyHash, found.version()))
+				: new ClaimResult.InDoubt();
 	}
 
 	private static StoredAnswer tooLarge(StoredAnswer answer) {
@@ -185,14 +185,14 @@
 	/**
 	 * What became of a claim.
 	 */
-	public sealed interface Claimed {
+	public sealed interface ClaimResult {
 
 		/**
 		 * The action may be sent, once, by whoever got this.
 		 *
 		 * @param claim the claim
 		 */
-		record Mine(Claim claim) implements Claimed {
+		record Mine(Claim claim) implements ClaimResult {
 		}
 
 		/**
@@ -200,31 +200,31 @@
 		 *
 		 * @param answer the first answer
 		 */
-		record Answered(StoredAnswer answer) implements Claimed {
+		record Answered(StoredAnswer answer) implements ClaimResult {
 		}
 
 		/**
 		 * Somebody claimed it and no answer is known: it runs, ran, or never will.
 		 */
-		record InDoubt() implements Claimed {
+		record InDoubt() implements ClaimResult {
 		}
 
 		/**
 		 * The key was used with another body.
 		 */
-		record OtherBody() implements Claimed {
+		record OtherBody() implements ClaimResult {
 		}
 
 		/**
 		 * The platform did not take the claim: the action must not be sent.
 		 */
-		record StoreDown() implements Claimed {
+		record StoreDown() implements ClaimResult {
 		}
 
 		/**
 		 * Nothing is seen there; internal.
 		 */
-		record NotThere() implements Claimed {
+		record NotThere() implements ClaimResult {
 		}
 
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -18,7 +18,7 @@
 import io.whinjunction.http.server.Exchange;
 import io.whinjunction.http.server.Reply;
 import io.whinjunction.http.server.Request;
-import io.whinjunction.once.ActionClaims.Claimed;
+import io.whinjunction.once.ActionClaims.ClaimResult;
 import io.whinjunction.once.ActionName;
 import io.whinjunction.once.Claim;
 import io.whinjunction.once.StoredAnswer;
@@ -105,21 +105,21 @@
 		String bodyHash = ActionName.sha256(request.method().getBytes(StandardCharsets.UTF_8),
 				sending.target.getBytes(StandardCharsets.UTF_8), request.body());
 		Span span = this.parts.tracing().part(sending.record.span(), "claim");
-		Claimed claimed = this.parts.claims().claim(action, bodyHash);
+		ClaimResult claimed = this.parts.claims().claim(action, bodyHash);
 		span.end();
 		return switch (claimed) {
-			case Claimed.Mine mine -> sendClaimed(sending, mine.claim());
-			case Claimed.Answered answered -> replay(sending, answered.answer());
-			case Claimed.InDoubt ignored -> unknown(sending,
+			case ClaimResult.Mine mine -> sendClaimed(sending, mine.claim());
+			case ClaimResult.Answered answered -> replay(sending, answered.answer());
+			case ClaimResult.InDoubt ignored -> unknown(sending,
 					Refusal.temporary(Code.ACTION_IN_DOUBT,
 							"The first request with this idempotency-key is running, or its fate is unknown; "
 									+ "it is never sent again.",
 							RETRY_AFTER_S));
-			case Claimed.OtherBody ignored ->
+			case ClaimResult.OtherBody ignored ->
 				notRun(sending.exchange, sending.record, Refusal.permanent(Code.IDEMPOTENCY_KEY_REUSED,
 						"This idempotency-key was used with another method, path or body."));
-			case Claimed.StoreDown ignored -> platformDown(sending);
-			case Claimed.NotThere ignored -> platformDown(sending);
+			case ClaimResult.StoreDown ignored -> platformDown(sending);
+			case ClaimResult.NotThere ignored -> platformDown(sending);
 		};
 	}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 import io.whinjunction.once.ActionClaims;
-import io.whinjunction.once.ActionClaims.Claimed;
+import io.whinjunction.once.ActionClaims.ClaimResult;
 import io.whinjunction.once.ActionName;
 import io.whinjunction.once.StoredAnswer;
 import io.whinjunction.platform.ObjectStore;
@@ -49,8 +49,8 @@
 	@Test
 	void aClaimWhoseReplyWasLostIsRecognisedAsOnesOwn() {
 		this.store.fault(Fault.LOST_REPLY_ONCE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.Mine.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
 	// The write took effect, its reply was lost and the platform went down: the caller is
@@ -59,11 +59,11 @@
 	void aClaimGivenUpUnsentIsTakenBackByItsOwnEntryOnly() {
 		ActionClaims claims = claims("a");
 		this.store.fault(Fault.LOST_REPLY_THEN_OUTAGE);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.StoreDown.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreDown.class);
 		this.store.fault(Fault.NONE);
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.Mine.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
 	@Test
@@ -73,15 +73,15 @@
 		claims.claim(ACTION, "h");
 		this.store.fault(Fault.NONE);
 		claims.sweepGivenUp();
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.Mine.class);
 	}
 
 	@Test
 	void aRepeatReturnsTheFirstAnswer() {
 		ActionClaims claims = claims("a");
-		Claimed.Mine mine = (Claimed.Mine) claims.claim(ACTION, "h");
+		ClaimResult.Mine mine = (ClaimResult.Mine) claims.claim(ACTION, "h");
 		assertThat(claims.answered(mine.claim(), ANSWER)).isTrue();
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(Claimed.Answered.class, (answered) -> {
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(ClaimResult.Answered.class, (answered) -> {
 			assertThat(answered.answer().status()).isEqualTo(201);
 			assertThat(answered.answer().body()).containsExactly(1, 2);
 			assertThat(answered.answer().headers()).containsExactlyElementsOf(ANSWER.headers());
@@ -91,20 +91,20 @@
 	@Test
 	void aKeyUsedWithAnotherBodyIsRefused() {
 		claims("a").claim(ACTION, "h");
-		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(Claimed.OtherBody.class);
+		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(ClaimResult.OtherBody.class);
 	}
 
 	@Test
 	void withThePlatformDownNothingIsClaimed() {
 		this.store.fault(Fault.OUTAGE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(Claimed.StoreDown.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreDown.class);
 	}
 
 	@Test
 	void teamsAndServicesDoNotShareKeys() {
 		claims("a").claim(ACTION, "h");
 		assertThat(claims("a").claim(new ActionName("other", "booking-api", "friday-20h"), "h"))
-			.isInstanceOf(Claimed.Mine.class);
+			.isInstanceOf(ClaimResult.Mine.class);
 	}
 
 	private ActionClaims claims(String entry) {
@@ -144,14 +144,14 @@
 			int index = this.random.nextInt(this.entries.size());
 			ActionClaims claims = this.entries.get(index);
 			switch (claims.claim(ACTION, "h")) {
-				case Claimed.Mine mine -> send(index, claims, mine);
-				case Claimed.Answered ignored -> assertThat(this.runs).hasValue(1);
+				case ClaimResult.Mine mine -> send(index, claims, mine);
+				case ClaimResult.Answered ignored -> assertThat(this.runs).hasValue(1);
 				default -> {
 				}
 			}
 		}
 
-		private void send(int index, ActionClaims claims, Claimed.Mine mine) {
+		private void send(int index, ActionClaims claims, ClaimResult.Mine mine) {
 			switch (this.random.nextInt(5)) {
 				case 0 -> die(index);
 				case 1 -> {
