--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -21,7 +21,7 @@
  * and a claim without an answer is never sent again by anybody else, since nobody can
  * tell whether its holder has sent it.
  * <p>
- * Invariants: {@link ClaimResult.Mine} is given for an action at most once, unless the claim
+ * Invariants: {@link ClaimResult.Acquired} is given for an action at most once, unless the claim
  * was {@linkplain #release released} unsent; a claim given up unsent is taken back by
  * this process alone, once. Safe for all threads; calls block on the platform.
  */
@@ -74,7 +74,7 @@
 		for (int i = 0; i < WRITE_TRIES; i++) {
 			switch (this.store.write(action.objectKey(), record.toJson(), ObjectStore.ABSENT)) {
 				case Write.Written written -> {
-					return new ClaimResult.Mine(new Claim(action, nonce, bodyHash, written.version()));
+					return new ClaimResult.Acquired(new Claim(action, nonce, bodyHash, written.version()));
 				}
 				case Write.Conflict ignored -> {
 					return readBack(action, nonce, bodyHash);
@@ -162,7 +162,7 @@
 			return new ClaimResult.Answered(record.answer());
 		}
 		boolean ours = record.nonce().equals(nonce) || takeBack(record.nonce()) != null;
-		return ours ? new ClaimResult.Mine(new Claim(action, record.nonce(), bodyHash, found.version()))
+		return ours ? new ClaimResult.Acquired(new Claim(action, record.nonce(), bodyHash, found.version()))
 				: new ClaimResult.InDoubt();
 	}
 
@@ -192,7 +192,7 @@
 		 *
 		 * @param claim the claim
 		 */
-		record Mine(Claim claim) implements ClaimResult {
+		record Acquired(Claim claim) implements ClaimResult {
 		}
 
 		/**
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -108,7 +108,7 @@
 		ClaimResult claimed = this.parts.claims().claim(action, bodyHash);
 		span.end();
 		return switch (claimed) {
-			case ClaimResult.Mine mine -> sendClaimed(sending, mine.claim());
+			case ClaimResult.Acquired acquired -> sendClaimed(sending, acquired.claim());
 			case ClaimResult.Answered answered -> replay(sending, answered.answer());
 			case ClaimResult.InDoubt ignored -> unknown(sending,
 					Refusal.temporary(Code.ACTION_IN_DOUBT,
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -49,7 +49,7 @@
 	@Test
 	void aClaimWhoseReplyWasLostIsRecognisedAsOnesOwn() {
 		this.store.fault(Fault.LOST_REPLY_ONCE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.Mine.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
 		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
@@ -62,7 +62,7 @@
 		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreDown.class);
 		this.store.fault(Fault.NONE);
 		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.Mine.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
 		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
@@ -73,14 +73,14 @@
 		claims.claim(ACTION, "h");
 		this.store.fault(Fault.NONE);
 		claims.sweepGivenUp();
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.Mine.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
 	}
 
 	@Test
 	void aRepeatReturnsTheFirstAnswer() {
 		ActionClaims claims = claims("a");
-		ClaimResult.Mine mine = (ClaimResult.Mine) claims.claim(ACTION, "h");
-		assertThat(claims.answered(mine.claim(), ANSWER)).isTrue();
+		ClaimResult.Acquired acquired = (ClaimResult.Acquired) claims.claim(ACTION, "h");
+		assertThat(claims.answered(acquired.claim(), ANSWER)).isTrue();
 		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(ClaimResult.Answered.class, (answered) -> {
 			assertThat(answered.answer().status()).isEqualTo(201);
 			assertThat(answered.answer().body()).containsExactly(1, 2);
@@ -104,7 +104,7 @@
 	void teamsAndServicesDoNotShareKeys() {
 		claims("a").claim(ACTION, "h");
 		assertThat(claims("a").claim(new ActionName("other", "booking-api", "friday-20h"), "h"))
-			.isInstanceOf(ClaimResult.Mine.class);
+			.isInstanceOf(ClaimResult.Acquired.class);
 	}
 
 	private ActionClaims claims(String entry) {
@@ -144,18 +144,18 @@
 			int index = this.random.nextInt(this.entries.size());
 			ActionClaims claims = this.entries.get(index);
 			switch (claims.claim(ACTION, "h")) {
-				case ClaimResult.Mine mine -> send(index, claims, mine);
+				case ClaimResult.Acquired acquired -> send(index, claims, acquired);
 				case ClaimResult.Answered ignored -> assertThat(this.runs).hasValue(1);
 				default -> {
 				}
 			}
 		}
 
-		private void send(int index, ActionClaims claims, ClaimResult.Mine mine) {
+		private void send(int index, ActionClaims claims, ClaimResult.Acquired acquired) {
 			switch (this.random.nextInt(5)) {
 				case 0 -> die(index);
 				case 1 -> {
-					claims.release(mine.claim());
+					claims.release(acquired.claim());
 				}
 				case 2 -> {
 					this.runs.incrementAndGet();
@@ -163,7 +163,7 @@
 				}
 				default -> {
 					this.runs.incrementAndGet();
-					claims.answered(mine.claim(), ANSWER);
+					claims.answered(acquired.claim(), ANSWER);
 				}
 			}
 		}
