--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -156,7 +156,7 @@
 	private ClaimResult judge(ActionName action, Read.Found found, String nonce, String bodyHash) {
 		ClaimRecord record = ClaimRecord.parse(found.value());
 		if (!record.bodyHash().equals(bodyHash)) {
-			return new ClaimResult.OtherBody();
+			return new ClaimResult.BodyMismatch();
 		}
 		if (record.answer() != null) {
 			return new ClaimResult.Answered(record.answer());
@@ -212,7 +212,7 @@
 		/**
 		 * The key was used with another body.
 		 */
-		record OtherBody() implements ClaimResult {
+		record BodyMismatch() implements ClaimResult {
 		}
 
 		/**
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -115,7 +115,7 @@
 							"The first request with this idempotency-key is running, or its fate is unknown; "
 									+ "it is never sent again.",
 							RETRY_AFTER_S));
-			case ClaimResult.OtherBody ignored ->
+			case ClaimResult.BodyMismatch ignored ->
 				notRun(sending.exchange, sending.record, Refusal.permanent(Code.IDEMPOTENCY_KEY_REUSED,
 						"This idempotency-key was used with another method, path or body."));
 			case ClaimResult.StoreDown ignored -> platformDown(sending);
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -91,7 +91,7 @@
 	@Test
 	void aKeyUsedWithAnotherBodyIsRefused() {
 		claims("a").claim(ACTION, "h");
-		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(ClaimResult.OtherBody.class);
+		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(ClaimResult.BodyMismatch.class);
 	}
 
 	@Test
