--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -90,7 +90,7 @@
 			}
 		}
 		giveUp(new Claim(action, nonce, bodyHash, ObjectStore.ABSENT));
-		return new ClaimResult.StoreDown();
+		return new ClaimResult.StoreUnavailable();
 	}
 
 	/**
@@ -218,7 +218,7 @@
 		/**
 		 * The platform did not take the claim: the action must not be sent.
 		 */
-		record StoreDown() implements ClaimResult {
+		record StoreUnavailable() implements ClaimResult {
 		}
 
 		/**
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -118,7 +118,7 @@
 			case ClaimResult.BodyMismatch ignored ->
 				notRun(sending.exchange, sending.record, Refusal.permanent(Code.IDEMPOTENCY_KEY_REUSED,
 						"This idempotency-key was used with another method, path or body."));
-			case ClaimResult.StoreDown ignored -> platformDown(sending);
+			case ClaimResult.StoreUnavailable ignored -> platformDown(sending);
 			case ClaimResult.NotThere ignored -> platformDown(sending);
 		};
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -59,7 +59,7 @@
 	void aClaimGivenUpUnsentIsTakenBackByItsOwnEntryOnly() {
 		ActionClaims claims = claims("a");
 		this.store.fault(Fault.LOST_REPLY_THEN_OUTAGE);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreDown.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreUnavailable.class);
 		this.store.fault(Fault.NONE);
 		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
@@ -97,7 +97,7 @@
 	@Test
 	void withThePlatformDownNothingIsClaimed() {
 		this.store.fault(Fault.OUTAGE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreDown.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreUnavailable.class);
 	}
 
 	@Test
