--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -81,7 +81,7 @@
 				}
 				case Write.Uncertain ignored -> {
 					ClaimResult seen = readBack(action, nonce, bodyHash);
-					if (!(seen instanceof ClaimResult.NotThere)) {
+					if (!(seen instanceof ClaimResult.NotFound)) {
 						return seen;
 					}
 					// Neither written nor refused as far as can be seen: the same nonce
@@ -148,8 +148,8 @@
 	private ClaimResult readBack(ActionName action, String nonce, String bodyHash) {
 		return switch (this.store.read(action.objectKey())) {
 			case Read.Found found -> judge(action, found, nonce, bodyHash);
-			case Read.Absent ignored -> new ClaimResult.NotThere();
-			case Read.Unavailable ignored -> new ClaimResult.NotThere();
+			case Read.Absent ignored -> new ClaimResult.NotFound();
+			case Read.Unavailable ignored -> new ClaimResult.NotFound();
 		};
 	}
 
@@ -224,7 +224,7 @@
 		/**
 		 * Nothing is seen there; internal.
 		 */
-		record NotThere() implements ClaimResult {
+		record NotFound() implements ClaimResult {
 		}
 
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -119,7 +119,7 @@
 				notRun(sending.exchange, sending.record, Refusal.permanent(Code.IDEMPOTENCY_KEY_REUSED,
 						"This idempotency-key was used with another method, path or body."));
 			case ClaimResult.StoreUnavailable ignored -> platformDown(sending);
-			case ClaimResult.NotThere ignored -> platformDown(sending);
+			case ClaimResult.NotFound ignored -> platformDown(sending);
 		};
 	}
 
