--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -30,7 +30,7 @@
 	/** Larger answers are not kept; a repeat of such an action is told so. */
 	static final int MAX_KEPT_BODY_BYTES = 512 << 10;
 
-	private static final int MAX_GIVEN_UP = 10_000;
+	private static final int MAX_ABANDONED = 10_000;
 
 	private static final int WRITE_TRIES = 2;
 
@@ -41,11 +41,11 @@
 	private final LongSupplier epochS;
 
 	/** Nonces that may still turn up in the platform but never were sent with. */
-	private final Map<String, Claim> givenUp = new LinkedHashMap<>() {
+	private final Map<String, Claim> abandoned = new LinkedHashMap<>() {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Claim> eldest) {
-			return size() > MAX_GIVEN_UP;
+			return size() > MAX_ABANDONED;
 		}
 
 	};
@@ -89,7 +89,7 @@
 				}
 			}
 		}
-		giveUp(new Claim(action, nonce, bodyHash, ObjectStore.ABSENT));
+		abandon(new Claim(action, nonce, bodyHash, ObjectStore.ABSENT));
 		return new ClaimResult.StoreUnavailable();
 	}
 
@@ -125,7 +125,7 @@
 	 */
 	public void release(Claim claim) {
 		if (!(this.store.remove(claim.action().objectKey(), claim.version()) instanceof Write.Written)) {
-			giveUp(claim);
+			abandon(claim);
 		}
 	}
 
@@ -133,16 +133,16 @@
 	 * Removes claims from the platform that were given up unsent. Called now and then.
 	 * @return how many are still to be removed or watched for
 	 */
-	public int sweepGivenUp() {
-		for (Claim claim : givenUpClaims()) {
+	public int sweepAbandoned() {
+		for (Claim claim : abandonedClaims()) {
 			Read read = this.store.read(claim.action().objectKey());
 			if (read instanceof Read.Found found && ClaimRecord.parse(found.value()).nonce().equals(claim.nonce())
 					&& takeBack(claim.nonce()) != null
 					&& !(this.store.remove(claim.action().objectKey(), found.version()) instanceof Write.Written)) {
-				giveUp(claim);
+				abandon(claim);
 			}
 		}
-		return givenUpClaims().size();
+		return abandonedClaims().size();
 	}
 
 	private ClaimResult readBack(ActionName action, String nonce, String bodyHash) {
@@ -170,16 +170,16 @@
 		return new StoredAnswer(answer.status(), List.of(Map.entry("whin-body-kept", "no")), new byte[0]);
 	}
 
-	private synchronized void giveUp(Claim claim) {
-		this.givenUp.put(claim.nonce(), claim);
+	private synchronized void abandon(Claim claim) {
+		this.abandoned.put(claim.nonce(), claim);
 	}
 
 	private synchronized Claim takeBack(String nonce) {
-		return this.givenUp.remove(nonce);
+		return this.abandoned.remove(nonce);
 	}
 
-	private synchronized List<Claim> givenUpClaims() {
-		return new ArrayList<>(this.givenUp.values());
+	private synchronized List<Claim> abandonedClaims() {
+		return new ArrayList<>(this.abandoned.values());
 	}
 
 	/**
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -226,7 +226,7 @@
 			return true;
 		});
 		loop("claims", 1000, () -> {
-			this.parts.metrics().state("given_up_claims", this.parts.claims().sweepGivenUp());
+			this.parts.metrics().state("given_up_claims", this.parts.claims().sweepAbandoned());
 			return true;
 		});
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -72,7 +72,7 @@
 		this.store.fault(Fault.LOST_REPLY_THEN_OUTAGE);
 		claims.claim(ACTION, "h");
 		this.store.fault(Fault.NONE);
-		claims.sweepGivenUp();
+		claims.sweepAbandoned();
 		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
 	}
 
@@ -182,7 +182,7 @@
 					request();
 				}
 				else {
-					this.entries.get(this.random.nextInt(this.entries.size())).sweepGivenUp();
+					this.entries.get(this.random.nextInt(this.entries.size())).sweepAbandoned();
 				}
 				this.depth--;
 			}
