--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -99,7 +99,7 @@
 	 * @param answer the answer
 	 * @return whether the platform has it; where not, the claim stays without an answer
 	 */
-	public boolean answered(Claim claim, StoredAnswer answer) {
+	public boolean recordAnswer(Claim claim, StoredAnswer answer) {
 		StoredAnswer kept = (answer.body().length <= MAX_KEPT_BODY_BYTES) ? answer : tooLarge(answer);
 		ClaimRecord record = new ClaimRecord(claim.nonce(), claim.bodyHash(), this.epochS.getAsLong(), kept);
 		for (int i = 0; i < WRITE_TRIES; i++) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -132,7 +132,7 @@
 		Sent sent = send(sending, false);
 		switch (sent) {
 			case Sent.Answered answered -> this.parts.claims()
-				.answered(claim, new StoredAnswer(answered.response().status(), passed(answered.response().headers()),
+				.recordAnswer(claim, new StoredAnswer(answered.response().status(), passed(answered.response().headers()),
 						answered.response().body()));
 			case Sent.NotSent ignored -> this.parts.claims().release(claim);
 			case Sent.Lost ignored -> {
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -80,7 +80,7 @@
 	void aRepeatReturnsTheFirstAnswer() {
 		ActionClaims claims = claims("a");
 		ClaimResult.Acquired acquired = (ClaimResult.Acquired) claims.claim(ACTION, "h");
-		assertThat(claims.answered(acquired.claim(), ANSWER)).isTrue();
+		assertThat(claims.recordAnswer(acquired.claim(), ANSWER)).isTrue();
 		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(ClaimResult.Answered.class, (answered) -> {
 			assertThat(answered.answer().status()).isEqualTo(201);
 			assertThat(answered.answer().body()).containsExactly(1, 2);
@@ -163,7 +163,7 @@
 				}
 				default -> {
 					this.runs.incrementAndGet();
-					claims.answered(acquired.claim(), ANSWER);
+					claims.recordAnswer(acquired.claim(), ANSWER);
 				}
 			}
 		}
