--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftRequest.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftRequest.java
@@ -14,14 +14,14 @@
  * @param model the model
  * @param placement where its data may be at the time of asking; {@code null}: nowhere, or
  * not known any more
- * @param awaited the same for a draft that has begun, which may wait for the answer until
+ * @param awaitPlacement the same for a draft that has begun, which may wait for the answer until
  * what it is given says that the wait is over
  * @param prompt the prompt; never logged
  * @param maxTokens how many tokens to make
  * @param deadlineMs when the answer must be whole, on the entry's ticker
  */
 public record DraftRequest(String id, Service.Model model, Supplier<Placement> placement,
-		Function<BooleanSupplier, Placement> awaited, String prompt, int maxTokens, long deadlineMs) {
+		Function<BooleanSupplier, Placement> awaitPlacement, String prompt, int maxTokens, long deadlineMs) {
 
 	/**
 	 * A draft that waits for no permission.
--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
@@ -211,7 +211,7 @@
 		if (this.touched.isEmpty()) {
 			return this.request.placement().get();
 		}
-		return this.request.awaited().apply(() -> sink.cancelled() || late() || sink.stopping());
+		return this.request.awaitPlacement().apply(() -> sink.cancelled() || late() || sink.stopping());
 	}
 
 	private String token(Pipeline pipeline, List<HopRecorder> recorders, int position, List<String> inputs) {
