--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
@@ -82,7 +82,7 @@
 	 * not end well
 	 */
 	public DraftResult run(TokenSink sink) {
-		this.budget.requested();
+		this.budget.recordRequest();
 		Outcome outcome = attempts(sink);
 		cleanUp();
 		return new DraftResult(outcome, List.copyOf(this.tokens), this.hops.stream().map(HopRecorder::hop).toList(),
--- a/whinjunction-core/src/main/java/io/whinjunction/session/RetryBudget.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/RetryBudget.java
@@ -36,7 +36,7 @@
 	/**
 	 * A request was begun.
 	 */
-	public synchronized void requested() {
+	public synchronized void recordRequest() {
 		earn(this.part);
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
@@ -20,7 +20,7 @@
 		RetryBudget budget = new RetryBudget(0.1, 20);
 		int retries = 0;
 		for (int i = 0; i < requests; i++) {
-			budget.requested();
+			budget.recordRequest();
 			while (budget.tryRetry()) {
 				retries++;
 			}
@@ -35,7 +35,7 @@
 	void progressEarnsRetriesSoThatLongDraftsSurviveOneFailureAfterTheOther() {
 		RetryBudget budget = new RetryBudget(0.1, 20);
 		for (int i = 0; i < 10; i++) {
-			budget.requested();
+			budget.recordRequest();
 		}
 		for (int failure = 0; failure < 10; failure++) {
 			for (int token = 0; token < 10 * 100; token++) {
@@ -50,7 +50,7 @@
 	@Test
 	void aLoneFailureIsRetried() {
 		RetryBudget budget = new RetryBudget(0.1, 20);
-		budget.requested();
+		budget.recordRequest();
 		assertThat(budget.tryRetry()).isTrue();
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -158,7 +158,7 @@
 	// Sends to one upstream after the other. Before a byte is written another may be
 	// tried; after that only where the call may be repeated, and while the budget lasts.
 	private Sent send(Sending sending, boolean repeatable) {
-		this.parts.budget().requested();
+		this.parts.budget().recordRequest();
 		Set<String> avoided = new HashSet<>();
 		boolean lost = false;
 		while (true) {
