--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
@@ -191,7 +191,7 @@
 			position += inputs.size();
 			inputs = List.of(token);
 			this.tokens.add(token);
-			this.budget.progressed();
+			this.budget.recordToken();
 			sink.token(token);
 		}
 		return new AttemptEnd.Whole();
--- a/whinjunction-core/src/main/java/io/whinjunction/session/RetryBudget.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/RetryBudget.java
@@ -43,7 +43,7 @@
 	/**
 	 * A token of a draft was made.
 	 */
-	public synchronized void progressed() {
+	public synchronized void recordToken() {
 		earn(PER_TOKEN);
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
@@ -39,7 +39,7 @@
 		}
 		for (int failure = 0; failure < 10; failure++) {
 			for (int token = 0; token < 10 * 100; token++) {
-				budget.progressed();
+				budget.recordToken();
 			}
 			for (int draft = 0; draft < 10; draft++) {
 				assertThat(budget.tryRetry()).isTrue();
