--- a/whinjunction-core/src/main/java/io/whinjunction/membership/MembershipTable.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/membership/MembershipTable.java
@@ -87,7 +87,7 @@
 	 * @param id the member
 	 * @param nowMs the time
 	 */
-	public synchronized void silent(String id, long nowMs) {
+	public synchronized void suspect(String id, long nowMs) {
 		Entry entry = this.entries.get(id);
 		if (entry != null && entry.member.status() == Member.Status.ALIVE) {
 			this.entries.put(id, new Entry(entry.member.with(Member.Status.SUSPECT), nowMs));
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
@@ -95,7 +95,7 @@
 				exchangeWith(target.address());
 			}
 			catch (TException ex) {
-				this.members.silent(target.id(), this.ticker.nowMs());
+				this.members.suspect(target.id(), this.ticker.nowMs());
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 		}
 		catch (TException ex) {
 			// The base share is kept; the next round asks the owner of that time.
-			this.members.silent(from.id(), this.ticker.nowMs());
+			this.members.suspect(from.id(), this.ticker.nowMs());
 		}
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/membership/MembershipTableTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/membership/MembershipTableTests.java
@@ -24,7 +24,7 @@
 	void aSilentMemberIsSuspectedThenDead() {
 		MembershipTable table = table("a");
 		table.merge(List.of(member("b", 1, Member.Status.ALIVE)), 0);
-		table.silent("b", 0);
+		table.suspect("b", 0);
 		assertThat(table.alive()).hasSize(2);
 		table.tick(SUSPICION_MS + 1);
 		assertThat(table.alive()).extracting(Member::id).containsExactly("a");
@@ -94,7 +94,7 @@
 		}
 		int index = Integer.parseInt(target.id().substring(1));
 		if (index == dead) {
-			from.silent(target.id(), nowMs);
+			from.suspect(target.id(), nowMs);
 			return;
 		}
 		MembershipTable to = tables.get(index);
