--- a/whinjunction-core/src/main/java/io/whinjunction/membership/MembershipTable.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/membership/MembershipTable.java
@@ -71,7 +71,7 @@
 	 * @param member what it says of itself
 	 * @param nowMs the time
 	 */
-	public synchronized void answered(Member member, long nowMs) {
+	public synchronized void recordContact(Member member, long nowMs) {
 		Entry entry = this.entries.get(member.id());
 		if (entry == null || member.overrides(entry.member)) {
 			take(member, nowMs);
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
@@ -140,7 +140,7 @@
 	@Override
 	public Digest exchange(Digest digest) throws TException {
 		long nowMs = this.ticker.nowMs();
-		this.members.answered(PeerMessages.decode(digest.getSender()), nowMs);
+		this.members.recordContact(PeerMessages.decode(digest.getSender()), nowMs);
 		this.members.merge(PeerMessages.decode(digest.getChanges()), nowMs);
 		digest.getLeavingUpstreams().forEach(this.upstreams::markLeaving);
 		if (digest.getRevision() > this.configuration.configuration().revision()) {
@@ -221,7 +221,7 @@
 
 	private void learn(Digest theirs, String address, long askedAtMs) throws TException {
 		long nowMs = this.ticker.nowMs();
-		this.members.answered(PeerMessages.decode(theirs.getSender()), nowMs);
+		this.members.recordContact(PeerMessages.decode(theirs.getSender()), nowMs);
 		this.members.merge(PeerMessages.decode(theirs.getChanges()), nowMs);
 		theirs.getLeavingUpstreams().forEach(this.upstreams::markLeaving);
 		long held = this.configuration.configuration().revision();
--- a/whinjunction-core/src/test/java/io/whinjunction/membership/MembershipTableTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/membership/MembershipTableTests.java
@@ -100,9 +100,9 @@
 		MembershipTable to = tables.get(index);
 		List<Member> told = from.changes(MOST_CHANGES);
 		assertThat(told).hasSizeLessThanOrEqualTo(MOST_CHANGES);
-		to.answered(from.self(), nowMs);
+		to.recordContact(from.self(), nowMs);
 		to.merge(told, nowMs);
-		from.answered(to.self(), nowMs);
+		from.recordContact(to.self(), nowMs);
 		from.merge(to.changes(MOST_CHANGES), nowMs);
 	}
 
