--- a/whinjunction-core/src/main/java/io/whinjunction/proof/ConfigurationProof.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/proof/ConfigurationProof.java
@@ -48,7 +48,7 @@
 	 * The configuration in force was the newest.
 	 * @param askedAtMs when that was asked, on a clock that counts suspensions
 	 */
-	public void proved(long askedAtMs) {
+	public void recordProof(long askedAtMs) {
 		this.provedAtMs = Math.max(this.provedAtMs, askedAtMs);
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/proof/ConfigurationProofTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/proof/ConfigurationProofTests.java
@@ -22,7 +22,7 @@
 	// in counts it, so the first look after it refuses.
 	@Test
 	void aProofIsOldAfterASuspension() {
-		this.proof.proved(1000);
+		this.proof.recordProof(1000);
 
 		assertThat(this.proof.honoursKeys(1500)).isTrue();
 		assertThat(this.proof.honoursKeys(3_601_500)).isFalse();
@@ -32,22 +32,22 @@
 	// asked for, not when it came.
 	@Test
 	void aLateReplyProvesOnlyTheMomentOfItsQuestion() {
-		this.proof.proved(1000);
+		this.proof.recordProof(1000);
 
 		assertThat(this.proof.honoursKeys(6000)).isFalse();
 	}
 
 	@Test
 	void anOlderProofDoesNotReplaceANewerOne() {
-		this.proof.proved(5000);
-		this.proof.proved(100);
+		this.proof.recordProof(5000);
+		this.proof.recordProof(100);
 
 		assertThat(this.proof.ageMs(5000)).isZero();
 	}
 
 	@Test
 	void aRequestIsDeniedForGoodOnlyWithAYoungerProofThanKeysNeed() {
-		this.proof.proved(0);
+		this.proof.recordProof(0);
 
 		assertThat(this.proof.maySayNo(1999)).isTrue();
 		assertThat(this.proof.maySayNo(2000)).isFalse();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationSynchronizer.java
@@ -240,7 +240,7 @@
 			this.unconfirmedProofAtMs = Math.max(this.unconfirmedProofAtMs, requestedAtMs);
 		}
 		else if (this.freshness.proves(version(), requestedAtMs, this.boot.nowMs())) {
-			this.proof.proved(requestedAtMs);
+			this.proof.recordProof(requestedAtMs);
 		}
 	}
 
