--- a/whinjunction-core/src/main/java/io/whinjunction/proof/ConfigurationProof.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/proof/ConfigurationProof.java
@@ -75,7 +75,7 @@
 	 * @param nowMs the time, on the same clock
 	 * @return {@code false} where it may have been added meanwhile
 	 */
-	public boolean maySayNo(long nowMs) {
+	public boolean allowsDenial(long nowMs) {
 		return ageMs(nowMs) < this.denialBoundMs;
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/proof/ConfigurationProofTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/proof/ConfigurationProofTests.java
@@ -14,7 +14,7 @@
 	@Test
 	void withoutAProofNothingIsHonouredOrDenied() {
 		assertThat(this.proof.honoursKeys(0)).isFalse();
-		assertThat(this.proof.maySayNo(0)).isFalse();
+		assertThat(this.proof.allowsDenial(0)).isFalse();
 	}
 
 	// A key that was taken away an hour ago works: the machine was suspended, and the
@@ -49,8 +49,8 @@
 	void aRequestIsDeniedForGoodOnlyWithAYoungerProofThanKeysNeed() {
 		this.proof.recordProof(0);
 
-		assertThat(this.proof.maySayNo(1999)).isTrue();
-		assertThat(this.proof.maySayNo(2000)).isFalse();
+		assertThat(this.proof.allowsDenial(1999)).isTrue();
+		assertThat(this.proof.allowsDenial(2000)).isFalse();
 		assertThat(this.proof.honoursKeys(2000)).isTrue();
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RequestGate.java
@@ -74,7 +74,7 @@
 	private static Verdict denied(RouterContext router, Route route, String reason, HttpResponseStatus status,
 			String sentence) {
 		ConfigurationProof proof = router.proof();
-		if (!proof.maySayNo(router.bootMs())) {
+		if (!proof.allowsDenial(router.bootMs())) {
 			return refused(route, "unproved-" + reason, sentence);
 		}
 		return new Verdict.TurnedAway(route, "denied", reason, Answer.own(status, sentence));
