--- a/whinjunction-core/src/main/java/io/whinjunction/time/RunningTimes.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/PauseDetector.java
@@ -17,7 +17,7 @@
  * {@link BootClock} counts a suspended machine too, a {@link Ticker} a stopped process
  * only. Safe for all threads.
  */
-public final class RunningTimes {
+public final class PauseDetector {
 
 	private final long longestPauseMs;
 
@@ -33,7 +33,7 @@
 	 * @param longestPauseMs the longest pause between two notes of a process that runs,
 	 * in milliseconds
 	 */
-	public RunningTimes(long nowMs, long longestPauseMs) {
+	public PauseDetector(long nowMs, long longestPauseMs) {
 		this.notedMs = nowMs;
 		this.longestPauseMs = longestPauseMs;
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/time/RunningTimesTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/time/PauseDetectorTests.java
@@ -7,9 +7,9 @@
 /**
  * To when a signal is dated that the process may have got late.
  */
-class RunningTimesTests {
+class PauseDetectorTests {
 
-	private final RunningTimes times = new RunningTimes(0, 1000);
+	private final PauseDetector times = new PauseDetector(0, 1000);
 
 	@Test
 	void aSignalThatIsHandledByAProcessThatRunsIsDatedToThatMoment() {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -35,7 +35,7 @@
 import io.whinjunction.platform.ObjectStore;
 import io.whinjunction.session.RetryBudget;
 import io.whinjunction.time.Closer;
-import io.whinjunction.time.RunningTimes;
+import io.whinjunction.time.PauseDetector;
 import io.whinjunction.time.Ticker;
 import io.whinjunction.tls.TlsFiles;
 import io.whinjunction.trace.Tracing;
@@ -86,7 +86,7 @@
 
 	private final Ticker ticker;
 
-	private final RunningTimes runningTimes;
+	private final PauseDetector runningTimes;
 
 	private final Closer closer = new Closer();
 
@@ -139,7 +139,7 @@
 		PeerNode node = new PeerNode(new PeerNode.NodeState(members, configuration, freshness, upstreams, limits),
 				transport, this.ticker, random);
 		this.closer.register(PeerServer.start(transport, settings.host(), settings.peerPort(), node));
-		this.runningTimes = new RunningTimes(ticker.nowMs(), LONGEST_PAUSE_MS);
+		this.runningTimes = new PauseDetector(ticker.nowMs(), LONGEST_PAUSE_MS);
 		loops(new ConfigurationWatch(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
 				new UpstreamWatch(store, engines, configuration, upstreams), node);
 		this.callers = this.closer.register(HttpServer.start(
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -33,7 +33,7 @@
 import io.whinjunction.store.StoreVersion;
 import io.whinjunction.time.BootClock;
 import io.whinjunction.time.Closer;
-import io.whinjunction.time.RunningTimes;
+import io.whinjunction.time.PauseDetector;
 import io.whinjunction.time.Ticker;
 
 /**
@@ -134,7 +134,7 @@
 	/** {@code null} until the process is told to stop. */
 	private StopSchedule stop;
 
-	private final RunningTimes runningTimes;
+	private final PauseDetector runningTimes;
 
 	/**
 	 * A router.
@@ -152,7 +152,7 @@
 		this.dialect = ports.dialect();
 		this.metrics = ports.metrics();
 		this.boot = boot;
-		this.runningTimes = new RunningTimes(boot.nowMs(), LONGEST_PAUSE_MS);
+		this.runningTimes = new PauseDetector(boot.nowMs(), LONGEST_PAUSE_MS);
 		this.proof = new ConfigurationProof(settings.bounds().keysMs() - KEY_MARGIN_MS,
 				settings.bounds().configurationMs());
 		this.peers = new PeerTable(Addresses.text(settings.peers()), this.random);
