--- a/whinjunction-core/src/main/java/io/whinjunction/time/PauseDetector.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/PauseDetector.java
@@ -42,7 +42,7 @@
 	 * The process runs.
 	 * @param nowMs the time
 	 */
-	public synchronized void note(long nowMs) {
+	public synchronized void recordActivity(long nowMs) {
 		if (nowMs - this.notedMs > this.longestPauseMs) {
 			this.gapFromMs = this.notedMs;
 			this.gapUntilMs = nowMs;
@@ -56,7 +56,7 @@
 	 * @return the last moment before a gap that ended just then, else when it was handled
 	 */
 	public synchronized long earliestOf(long handledMs) {
-		note(handledMs);
+		recordActivity(handledMs);
 		return (handledMs - this.gapUntilMs <= this.longestPauseMs) ? Math.min(this.gapFromMs, handledMs) : handledMs;
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/time/PauseDetectorTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/time/PauseDetectorTests.java
@@ -32,7 +32,7 @@
 	@Test
 	void aNoteThatComesJustBeforeTheSignalDoesNotHideTheGap() {
 		run(0, 10_000);
-		this.times.note(15_000);
+		this.times.recordActivity(15_000);
 
 		assertThat(this.times.earliestOf(15_040)).isEqualTo(10_000);
 	}
@@ -52,14 +52,14 @@
 	@Test
 	void noSignalIsDatedLaterThanItWasHandled() {
 		run(0, 10_500);
-		this.times.note(15_000);
+		this.times.recordActivity(15_000);
 
 		assertThat(this.times.earliestOf(10_300)).isEqualTo(10_300);
 	}
 
 	private void run(long fromMs, long untilMs) {
 		for (long nowMs = fromMs; nowMs <= untilMs; nowMs += 500) {
-			this.times.note(nowMs);
+			this.times.recordActivity(nowMs);
 		}
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -212,7 +212,7 @@
 
 	private void loops(ConfigurationWatch configurationWatch, UpstreamWatch upstreamWatch, PeerNode node) {
 		loop("running", NOTE_MS, () -> {
-			this.runningTimes.note(this.ticker.nowMs());
+			this.runningTimes.recordActivity(this.ticker.nowMs());
 			return true;
 		});
 		loop("configuration", 0, configurationWatch::step);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -349,7 +349,7 @@
 	}
 
 	private void sweep() {
-		this.runningTimes.note(bootMs());
+		this.runningTimes.recordActivity(bootMs());
 		this.pool.sweep();
 		this.crashGuard.sweep();
 		this.limits.sweep();
