--- a/whinjunction-core/src/main/java/io/whinjunction/time/PauseDetector.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/PauseDetector.java
@@ -55,7 +55,7 @@
 	 * @param handledMs when it was handled
 	 * @return the last moment before a gap that ended just then, else when it was handled
 	 */
-	public synchronized long earliestOf(long handledMs) {
+	public synchronized long earliestArrivalMs(long handledMs) {
 		recordActivity(handledMs);
 		return (handledMs - this.gapUntilMs <= this.longestPauseMs) ? Math.min(this.gapFromMs, handledMs) : handledMs;
 	}
--- a/whinjunction-core/src/test/java/io/whinjunction/time/PauseDetectorTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/time/PauseDetectorTests.java
@@ -15,7 +15,7 @@
 	void aSignalThatIsHandledByAProcessThatRunsIsDatedToThatMoment() {
 		run(0, 10_000);
 
-		assertThat(this.times.earliestOf(10_300)).isEqualTo(10_300);
+		assertThat(this.times.earliestArrivalMs(10_300)).isEqualTo(10_300);
 	}
 
 	// A machine is suspended for 5 s, and the signal comes meanwhile. Dated to the moment
@@ -24,7 +24,7 @@
 	void aSignalThatCameWhileTheProcessDidNotRunIsDatedToWhenItLastRan() {
 		run(0, 10_000);
 
-		assertThat(this.times.earliestOf(15_000)).isEqualTo(10_000);
+		assertThat(this.times.earliestArrivalMs(15_000)).isEqualTo(10_000);
 	}
 
 	// The same, but on waking the overdue note comes first, and the signal a few
@@ -34,7 +34,7 @@
 		run(0, 10_000);
 		this.times.recordActivity(15_000);
 
-		assertThat(this.times.earliestOf(15_040)).isEqualTo(10_000);
+		assertThat(this.times.earliestArrivalMs(15_040)).isEqualTo(10_000);
 	}
 
 	@Test
@@ -42,7 +42,7 @@
 		run(0, 10_000);
 		run(15_000, 20_000);
 
-		assertThat(this.times.earliestOf(20_400)).isEqualTo(20_400);
+		assertThat(this.times.earliestArrivalMs(20_400)).isEqualTo(20_400);
 	}
 
 	// Notes and signals are of different threads. The one with the signal is held up
@@ -54,7 +54,7 @@
 		run(0, 10_500);
 		this.times.recordActivity(15_000);
 
-		assertThat(this.times.earliestOf(10_300)).isEqualTo(10_300);
+		assertThat(this.times.earliestArrivalMs(10_300)).isEqualTo(10_300);
 	}
 
 	private void run(long fromMs, long untilMs) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -181,7 +181,7 @@
 		// does not wait longer for a process that stood still before its stop or in its
 		// notice.
 		long handledMs = this.ticker.nowMs();
-		long signalledMs = this.runningTimes.earliestOf(handledMs);
+		long signalledMs = this.runningTimes.earliestArrivalMs(handledMs);
 		long refusesAtMs = signalledMs + this.settings.timing().noticeMs();
 		long endsAtMs = refusesAtMs + this.settings.timing().drainMs();
 		logger.atInfo()
