--- a/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/AdmissionQueue.java
@@ -7,27 +7,32 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Lets a bounded number of requests run and a bounded number wait, fairly between teams.
+ * Admission control with a bounded number of running and of waiting requests, fair
+ * between teams.
  * <p>
- * The failure it is there for: under overload everything would wait, nothing would be in
- * time and one large team would fill the queue. Room goes to the waiting team with the
- * fewest running requests for its weight; a request that cannot make its deadline is
- * refused at once; where the queue is full, the longest team's newest makes room.
+ * Guards against overload in which all requests wait, none is answered in time and one
+ * large team fills the queue. A free slot goes to the waiting team with the fewest
+ * running requests relative to its weight. A request that cannot meet its deadline is
+ * refused immediately. If the queue is full, the newest request of the team with the
+ * longest queue relative to its weight is displaced.
  * <p>
  * Invariants: no request is started while the limit is reached; a waiting request is
- * ended exactly once. Safe for all threads.
+ * completed exactly once. Thread-safe.
  */
 public final class AdmissionQueue {
 
 	private static final double SMOOTHING = 0.05;
 
-	/** Waits vary; a request joins only where it will very likely not wait in vain. */
-	private static final double SURE_PART = 0.5;
+	/**
+	 * Waiting times vary, so a request is queued only if its expected wait is within this
+	 * ratio of the wait that it can afford.
+	 */
+	private static final double EXPECTED_WAIT_RATIO = 0.5;
 
 	private static final double GAP_SMOOTHING = 0.1;
 
-	/** The rest of the time is needed to run. */
-	private static final double WAIT_PART = 0.25;
+	/** The ratio of a request's time that it may wait; the rest is needed to run. */
+	private static final double MAX_WAIT_RATIO = 0.25;
 
 	private final ConcurrencyLimit limit;
 
@@ -42,9 +47,9 @@
 	private double smoothedServiceMs;
 
 	/**
-	 * A queue.
-	 * @param limit how many requests may run
-	 * @param maxWaiting how many may wait
+	 * Creates an empty queue.
+	 * @param limit the limit of running requests
+	 * @param maxWaiting how many requests may wait
 	 */
 	public AdmissionQueue(ConcurrencyLimit limit, int maxWaiting) {
 		this.limit = limit;
@@ -52,20 +57,20 @@
 	}
 
 	/**
-	 * How long a request may wait of the time that it has in all.
-	 * @param allowedMs the time in all, in milliseconds
-	 * @return the part of it
+	 * Returns how long a request may wait.
+	 * @param allowedMs the time that it has in total, in milliseconds
+	 * @return the longest wait in milliseconds
 	 */
 	public static long waitMs(long allowedMs) {
-		return (long) (allowedMs * WAIT_PART);
+		return (long) (allowedMs * MAX_WAIT_RATIO);
 	}
 
 	/**
-	 * Asks to run.
+	 * Admits, queues or refuses a request.
 	 * @param team the team
 	 * @param weight its weight
-	 * @param allowedMs how long it may take, waiting included, in milliseconds
-	 * @return what became of it
+	 * @param allowedMs how long it may take, including the wait, in milliseconds
+	 * @return the decision
 	 */
 	public synchronized Ticket enter(String team, int weight, long allowedMs) {
 		TeamQueue queue = this.teams.computeIfAbsent(team, (name) -> new TeamQueue());
@@ -75,7 +80,7 @@
 			return new Ticket.Admitted();
 		}
 		long waitMs = expectedWaitMs(queue);
-		if (waitMs > waitMs(allowedMs) * SURE_PART) {
+		if (waitMs > waitMs(allowedMs) * EXPECTED_WAIT_RATIO) {
 			forgetIdle(team);
 			return new Ticket.Refused(false, Math.max(1, waitMs));
 		}
@@ -83,27 +88,28 @@
 			forgetIdle(team);
 			return new Ticket.Refused(true, Math.max(1, waitMs));
 		}
-		CompletableFuture<Boolean> turn = new CompletableFuture<>();
-		queue.waiting.add(turn);
+		CompletableFuture<Boolean> admitted = new CompletableFuture<>();
+		queue.waiting.add(admitted);
 		this.waiting++;
-		return new Ticket.Waiting(turn);
+		return new Ticket.Waiting(admitted);
 	}
 
 	/**
-	 * A running request made progress.
+	 * Records the progress of a running request and starts waiting requests if the limit
+	 * has grown.
 	 * @param nowMs the time
-	 * @param paceMs how long its whole answer will have taken at this pace
-	 * @param allowedMs how long it may take
+	 * @param projectedMs the projected total duration of its answer, in milliseconds
+	 * @param allowedMs how long it may take, in milliseconds
 	 */
-	public synchronized void recordProgress(long nowMs, double paceMs, double allowedMs) {
-		this.limit.recordProgress(nowMs, this.running, paceMs, allowedMs);
+	public synchronized void recordProgress(long nowMs, double projectedMs, double allowedMs) {
+		this.limit.recordProgress(nowMs, this.running, projectedMs, allowedMs);
 		startWaiting(nowMs);
 	}
 
 	/**
-	 * A running request ended.
+	 * Records the end of a running request and starts waiting requests.
 	 * @param team its team
-	 * @param tookMs how long it ran
+	 * @param tookMs how long it ran, in milliseconds
 	 * @param nowMs the time
 	 */
 	public synchronized void leave(String team, double tookMs, long nowMs) {
@@ -117,10 +123,11 @@
 	}
 
 	/**
-	 * A waiting request gives up.
+	 * Cancels a waiting request.
 	 * @param team its team
 	 * @param ticket its ticket
-	 * @return {@code true} where it had not been started; {@code false}: it runs
+	 * @return {@code true} if it was removed from the queue; {@code false} if it was no
+	 * longer waiting
 	 */
 	public synchronized boolean cancel(String team, Ticket.Waiting ticket) {
 		boolean removed = this.teams.get(team).waiting.remove(ticket.admitted());
@@ -132,15 +139,15 @@
 	}
 
 	/**
-	 * How long a request runs as a rule, waiting left out.
-	 * @return the smoothed time in milliseconds; 0 while none has ended
+	 * Returns how long a request typically runs, without the wait.
+	 * @return the smoothed time in milliseconds; 0 until the first request has ended
 	 */
 	public synchronized long typicalServiceMs() {
 		return (long) this.smoothedServiceMs;
 	}
 
 	/**
-	 * Requests that run.
+	 * Returns the number of running requests.
 	 * @return their number
 	 */
 	public synchronized int running() {
@@ -148,32 +155,33 @@
 	}
 
 	/**
-	 * Requests that may run.
-	 * @return the limit now
+	 * Returns the current limit of running requests.
+	 * @return the limit
 	 */
 	public synchronized int limit() {
 		return this.limit.current();
 	}
 
 	/**
-	 * Requests that wait.
+	 * Returns the number of waiting requests.
 	 * @return their number
 	 */
 	public synchronized int waiting() {
 		return this.waiting;
 	}
 
-	// Turns go round between the teams that wait, so a short queue of one's own is soon
-	// through, however long another team's is.
+	// Slots are given to the waiting teams in rounds, so a team with a short queue is
+	// served soon, however long the queue of another team is.
 	private long expectedWaitMs(TeamQueue queue) {
 		long round = this.teams.values().stream().filter((one) -> one != queue && !one.waiting.isEmpty()).count() + 1;
 		double ahead = Math.min(this.waiting + 1.0, (queue.waiting.size() + 1.0) * round);
 		double byRounds = this.smoothedServiceMs * ahead / this.limit.current();
-		// How fast the team's own turns came lately tells what other teams leave to it.
-		return (long) Math.max(byRounds, queue.turnGapMs() * (queue.waiting.size() + 1));
+		// The recent intervals between this team's starts show its actual share of the
+		// slots.
+		return (long) Math.max(byRounds, queue.startGapMs() * (queue.waiting.size() + 1));
 	}
 
-	// The newest waiting request of the longest queue makes room and is refused at once.
+	// Refuses the newest request of the longest queue at once to make room.
 	private boolean displaceFor(TeamQueue queue) {
 		TeamQueue longest = queue;
 		for (TeamQueue other : this.teams.values()) {
@@ -209,7 +217,7 @@
 		}
 		this.waiting--;
 		start(next);
-		next.turn(nowMs);
+		next.recordStart(nowMs);
 		next.waiting.poll().complete(true);
 	}
 
@@ -228,17 +236,17 @@
 
 		private int weight = 1;
 
-		private long lastTurnMs;
+		private long lastStartMs;
 
 		private double smoothedGapMs;
 
-		void turn(long nowMs) {
-			double gapMs = nowMs - this.lastTurnMs;
-			this.smoothedGapMs += (this.lastTurnMs != 0) ? GAP_SMOOTHING * (gapMs - this.smoothedGapMs) : 0;
-			this.lastTurnMs = nowMs;
+		void recordStart(long nowMs) {
+			double gapMs = nowMs - this.lastStartMs;
+			this.smoothedGapMs += (this.lastStartMs != 0) ? GAP_SMOOTHING * (gapMs - this.smoothedGapMs) : 0;
+			this.lastStartMs = nowMs;
 		}
 
-		double turnGapMs() {
+		double startGapMs() {
 			return this.waiting.isEmpty() ? 0 : this.smoothedGapMs;
 		}
 
@@ -253,30 +261,30 @@
 	}
 
 	/**
-	 * What became of a request that asked to run.
+	 * The decision on a request.
 	 */
 	public sealed interface Ticket {
 
 		/**
-		 * It runs; {@link AdmissionQueue#leave} has to follow.
+		 * The request may run; {@link AdmissionQueue#leave} must be called when it ends.
 		 */
 		record Admitted() implements Ticket {
 		}
 
 		/**
-		 * It waits.
+		 * The request waits.
 		 *
-		 * @param admitted completes with {@code true} when it runs, with {@code false} when
-		 * it is refused to make room for a team that waits less
+		 * @param admitted completes with {@code true} when the request may run, with
+		 * {@code false} when it is displaced by a request of a team with a shorter queue
 		 */
 		record Waiting(CompletableFuture<Boolean> admitted) implements Ticket {
 		}
 
 		/**
-		 * It is refused.
+		 * The request is refused.
 		 *
-		 * @param full whether the queue is full, rather than its deadline too near
-		 * @param retryAfterMs when a slot is to be expected
+		 * @param full whether the queue is full; otherwise the deadline is too near
+		 * @param retryAfterMs the expected time until a slot is free, in milliseconds
 		 */
 		record Refused(boolean full, long retryAfterMs) implements Ticket {
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/ConcurrencyLimit.java
@@ -1,31 +1,39 @@
 package io.whinjunction.admission;
 
 /**
- * How many requests may run at once, learned from their pace.
+ * Limit of concurrent requests, fixed or adapted to their projected durations.
  * <p>
- * The failure it is there for: with more requests running than the upstreams can serve in
- * time, every answer is late, steps run into their limits, retries add to the load, and
- * nothing useful is done although every engine is busy. The pace is the time that an
- * answer will have taken in all, told with every token, so that congestion shows long
- * before the first late answer. The limit grows while answers need less than half of
- * their time and falls when they need more; after a fall it waits until the fall can have
- * had its effect. Entries that share upstreams settle at similar parts without talking to
- * each other.
+ * Guards against congestion collapse: with more requests running than the upstreams can
+ * serve in time, every answer is late, steps time out, retries add to the load, and no
+ * useful work is done although every engine is busy. The projected total duration of an
+ * answer is reported with every token, so that congestion is detected long before the
+ * first late answer. The limit grows while answers need less than half of their allowed
+ * time and is reduced when they need more. After a reduction no further one is made until
+ * the first can have taken effect. Entries that share upstreams converge to similar
+ * limits without coordination.
  * <p>
- * Invariant: {@code least <= current <= most}. Confined to its queue's lock.
+ * Invariant: {@code min <= current <= max}. Guarded by the lock of its queue.
  */
 public final class ConcurrencyLimit {
 
-	/** Above this part of its time an answer's pace ends the first, fast growth. */
-	private static final double CALM_PART = 0.25;
+	/**
+	 * The initial fast growth ends when answers need more than this ratio of their
+	 * allowed time.
+	 */
+	private static final double FIRST_GROWTH_RATIO = 0.25;
 
-	/** Above this part of its time an answer's pace means congestion. */
-	private static final double CONGESTED_PART = 0.5;
+	/**
+	 * Answers that need more than this ratio of their allowed time indicate congestion.
+	 */
+	private static final double CONGESTED_RATIO = 0.5;
 
-	/** Growth stops a little below, so that the limit does not swing. */
-	private static final double GROW_PART = 0.45;
+	/**
+	 * The limit stops growing slightly below the congested ratio, which avoids
+	 * oscillation.
+	 */
+	private static final double GROWTH_RATIO = 0.45;
 
-	private static final double FALL = 0.85;
+	private static final double DECREASE_FACTOR = 0.85;
 
 	private static final double SMOOTHING = 0.02;
 
@@ -33,29 +41,29 @@
 
 	private static final double GROWTH_PER_TOKEN = 0.005;
 
-	/** The limit grows only while it is in use. */
-	private static final double IN_USE_PART = 0.8;
+	/** The limit grows only while at least this ratio of it is in use. */
+	private static final double IN_USE_RATIO = 0.8;
 
-	private final int least;
+	private final int min;
 
-	private final int most;
+	private final int max;
 
 	private double current;
 
 	private boolean firstGrowth = true;
 
-	private double smoothedPart;
+	private double smoothedRatio;
 
-	private double quietUntilMs = Double.NEGATIVE_INFINITY;
+	private double noDecreaseUntilMs = Double.NEGATIVE_INFINITY;
 
-	private ConcurrencyLimit(int least, int start, int most) {
-		this.least = least;
+	private ConcurrencyLimit(int min, int start, int max) {
+		this.min = min;
 		this.current = start;
-		this.most = most;
+		this.max = max;
 	}
 
 	/**
-	 * A limit that never changes.
+	 * Returns a limit that never changes.
 	 * @param count the limit
 	 * @return the limit
 	 */
@@ -64,12 +72,12 @@
 	}
 
 	/**
-	 * A limit that is learned.
-	 * @param most the most it may become
-	 * @return the limit, beginning low
+	 * Returns a limit that adapts to the load.
+	 * @param max the highest value it may reach
+	 * @return the limit, with a low initial value
 	 */
-	public static ConcurrencyLimit adaptive(int most) {
-		return new ConcurrencyLimit(Math.min(4, most), Math.min(16, most), most);
+	public static ConcurrencyLimit adaptive(int max) {
+		return new ConcurrencyLimit(Math.min(4, max), Math.min(16, max), max);
 	}
 
 	int current() {
@@ -77,37 +85,37 @@
 	}
 
 	/**
-	 * A request made progress.
+	 * Records the progress of a request.
 	 * @param nowMs the time
-	 * @param running how many run
-	 * @param paceMs how long its whole answer will have taken at this pace
-	 * @param allowedMs how long it may take
+	 * @param running the number of running requests
+	 * @param projectedMs the projected total duration of its answer, in milliseconds
+	 * @param allowedMs how long it may take, in milliseconds
 	 */
-	void recordProgress(double nowMs, int running, double paceMs, double allowedMs) {
-		this.smoothedPart += SMOOTHING * (paceMs / allowedMs - this.smoothedPart);
-		this.firstGrowth &= this.smoothedPart < CALM_PART;
-		if (this.smoothedPart > CONGESTED_PART && nowMs >= this.quietUntilMs) {
-			this.current = Math.max(this.least, Math.min(this.current, running) * FALL);
-			this.quietUntilMs = nowMs + paceMs / 2;
+	void recordProgress(double nowMs, int running, double projectedMs, double allowedMs) {
+		this.smoothedRatio += SMOOTHING * (projectedMs / allowedMs - this.smoothedRatio);
+		this.firstGrowth &= this.smoothedRatio < FIRST_GROWTH_RATIO;
+		if (this.smoothedRatio > CONGESTED_RATIO && nowMs >= this.noDecreaseUntilMs) {
+			this.current = Math.max(this.min, Math.min(this.current, running) * DECREASE_FACTOR);
+			this.noDecreaseUntilMs = nowMs + projectedMs / 2;
 		}
 		else {
-			// Long answers end seldom; a fresh entry would keep most of its first callers
-			// waiting if only their ends let the limit grow.
+			// Long answers complete rarely. If the limit grew only on completions, a new
+			// entry would keep most of its first callers waiting.
 			grow(running, this.firstGrowth ? FIRST_GROWTH_PER_TOKEN : GROWTH_PER_TOKEN);
 		}
 	}
 
 	/**
-	 * A request ended.
-	 * @param running how many were running, itself included
+	 * Records the end of a request.
+	 * @param running the number of running requests, including this one
 	 */
 	void recordCompletion(int running) {
 		grow(running, this.firstGrowth ? 1 : 1 / Math.sqrt(this.current));
 	}
 
 	private void grow(int running, double growth) {
-		if (this.smoothedPart < GROW_PART && running >= this.current * IN_USE_PART) {
-			this.current = Math.min(this.most, this.current + growth);
+		if (this.smoothedRatio < GROWTH_RATIO && running >= this.current * IN_USE_RATIO) {
+			this.current = Math.min(this.max, this.current + growth);
 		}
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/admission/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Who may run now, who waits, and who is refused at once.
+ * Admission control: which requests run, wait or are refused.
  */
 package io.whinjunction.admission;
--- a/whinjunction-core/src/main/java/io/whinjunction/limit/SharedRate.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/SharedRate.java
@@ -1,63 +1,67 @@
 package io.whinjunction.limit;
 
 /**
- * One router's part of a rate that many share.
+ * Token bucket of capacity one for a router's share of a rate that several routers have
+ * in common.
  * <p>
- * Invariant: over any time, no more is taken than one and the part of the rate that this
- * time makes up; nothing is saved up beyond one, so that routers which were idle don't
- * all send at once. Not safe for threads: confined to the event loop.
+ * Invariant: over an interval of length {@code t}, at most {@code 1 + rate * t} tokens
+ * are taken. At most one token accumulates, so that routers that were idle don't all send
+ * at once. Not thread-safe: confined to the event loop.
  */
 public final class SharedRate {
 
 	private double perSecond;
 
-	/** What may be taken, as of {@link #atMs}; 1 at most. */
-	private double saved;
+	/**
+	 * Tokens available at {@link #atMs}; at most 1, negative after a take that was not
+	 * ready.
+	 */
+	private double tokens;
 
 	private long atMs;
 
 	/**
-	 * A rate of which nothing was taken yet.
-	 * @param saved what is saved up, from 0 to 1: a random part, so that routers that
-	 * begin together don't take their first together
+	 * Creates a bucket with a rate of 0.
+	 * @param tokens initial tokens, from 0 to 1; random, so that routers that start
+	 * together don't take their first token at the same time
 	 * @param nowMs the time
 	 */
-	public SharedRate(double saved, long nowMs) {
-		this.saved = saved;
+	public SharedRate(double tokens, long nowMs) {
+		this.tokens = tokens;
 		this.atMs = nowMs;
 	}
 
 	/**
-	 * Sets the rate from now on.
-	 * @param perSecond how many a second; 0 for none
+	 * Sets the rate that applies from now on.
+	 * @param perSecond tokens per second; 0 for none
 	 * @param nowMs the time
 	 */
 	public void setRate(double perSecond, long nowMs) {
-		saveUp(nowMs);
+		refill(nowMs);
 		this.perSecond = perSecond;
 	}
 
 	/**
-	 * Whether one may be taken.
+	 * Returns whether a token may be taken.
 	 * @param nowMs the time
-	 * @return whether one is saved up
+	 * @return {@code true} if a full token is available and the rate is not 0
 	 */
 	public boolean ready(long nowMs) {
-		saveUp(nowMs);
-		return this.saved >= 1 && this.perSecond > 0;
+		refill(nowMs);
+		return this.tokens >= 1 && this.perSecond > 0;
 	}
 
 	/**
-	 * Takes one; what was not ready is owed.
+	 * Takes a token; the balance goes negative if none was available.
 	 * @param nowMs the time
 	 */
 	public void take(long nowMs) {
-		saveUp(nowMs);
-		this.saved--;
+		refill(nowMs);
+		this.tokens--;
 	}
 
-	private void saveUp(long nowMs) {
-		this.saved = Math.min(1, this.saved + this.perSecond * (nowMs - this.atMs) / 1000);
+	private void refill(long nowMs) {
+		this.tokens = Math.min(1, this.tokens + this.perSecond * (nowMs - this.atMs) / 1000);
 		this.atMs = nowMs;
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/TeamLimits.java
@@ -6,27 +6,28 @@
 import io.whinjunction.configuration.Team;
 
 /**
- * One entry's part of every team's rate: a token bucket filled at the base share plus
- * what is lent.
+ * An entry's share of the rate of each team: one token bucket per team, filled at the
+ * base share plus the current loan.
  * <p>
  * Invariant: a bucket never holds more than one second's worth of its rate or one
- * request, whichever is more. Safe for all threads.
+ * request, whichever is greater. Thread-safe.
  */
 public final class TeamLimits {
 
-	/** Below this part of the base share an entry asks nobody. */
-	private static final double ASK_ABOVE = 0.8;
+	/** Up to this ratio of the base share an entry requests no loan. */
+	private static final double BORROW_THRESHOLD_RATIO = 0.8;
 
 	private static final double SMOOTHING = 0.5;
 
 	private final Map<String, Bucket> buckets = new HashMap<>();
 
 	/**
-	 * Asks to start one request.
+	 * Takes a token for one request.
 	 * @param team the team
-	 * @param entryCount how many entries share its rate
+	 * @param entryCount the number of entries that share its rate
 	 * @param nowMs the time
-	 * @return 0 where it may start, else in how many milliseconds one may
+	 * @return 0 if the request may start, otherwise the time in milliseconds until a
+	 * token is available
 	 */
 	public synchronized long tryStart(Team team, int entryCount, long nowMs) {
 		double base = LimitShares.base(team.ratePerSecond(), entryCount);
@@ -42,11 +43,13 @@
 	}
 
 	/**
-	 * The demand to tell a team's owner; called once per {@link LimitShares#RENEWAL_PERIOD_MS}.
+	 * Returns the demand to report to a team's owner and starts a new measurement; called
+	 * once per {@link LimitShares#RENEWAL_PERIOD_MS}.
 	 * @param team the team
-	 * @param entryCount how many entries share its rate
+	 * @param entryCount the number of entries that share its rate
 	 * @param nowMs the time
-	 * @return the rate wanted beyond the base share; 0: nothing to ask
+	 * @return the smoothed request rate if the base share does not cover it; 0 if no loan
+	 * is needed
 	 */
 	public synchronized double demandBeyondBase(Team team, int entryCount, long nowMs) {
 		Bucket bucket = this.buckets.get(team.name());
@@ -58,20 +61,20 @@
 		bucket.seen = 0;
 		bucket.countedAtMs = nowMs;
 		double base = LimitShares.base(team.ratePerSecond(), entryCount);
-		return (bucket.demand > base * ASK_ABOVE) ? bucket.demand : 0;
+		return (bucket.demand > base * BORROW_THRESHOLD_RATIO) ? bucket.demand : 0;
 	}
 
 	/**
-	 * Takes a loan.
+	 * Applies a loan granted by the team's owner.
 	 * @param team the team
 	 * @param lentPerSecond the rate lent
-	 * @param askedAtMs when it was asked for; it runs from then
+	 * @param requestedAtMs when it was requested; its validity is counted from then
 	 */
-	public synchronized void grantLoan(String team, double lentPerSecond, long askedAtMs) {
+	public synchronized void grantLoan(String team, double lentPerSecond, long requestedAtMs) {
 		Bucket bucket = this.buckets.get(team);
 		if (bucket != null) {
 			bucket.lent = lentPerSecond;
-			bucket.lentUntilMs = askedAtMs + LimitShares.LOAN_MS;
+			bucket.lentUntilMs = requestedAtMs + LimitShares.LOAN_MS;
 		}
 	}
 
@@ -91,7 +94,8 @@
 
 		private long countedAtMs;
 
-		// Starts full, as one that was idle: a first burst within the share passes.
+		// Starts full, like a bucket that was idle, so that a first burst within the
+		// share is admitted.
 		Bucket(double base, long nowMs) {
 			this.tokens = Math.max(1, base);
 			this.filledAtMs = nowMs;
--- a/whinjunction-core/src/main/java/io/whinjunction/limit/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/limit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Rates that many processes share: those of teams, without a platform call per request,
- * and those that upstreams name.
+ * Rates shared by several processes: those of teams, enforced without a platform call per
+ * request, and those announced by upstreams.
  */
 package io.whinjunction.limit;
--- a/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/admission/AdmissionQueueTests.java
@@ -24,7 +24,7 @@
 	private static final long PLENTY_MS = 1_000_000;
 
 	@Test
-	void aFullQueueRefusesAtOnceAndSaysWhenToComeBack() {
+	void aFullQueueRefusesAtOnceWithARetryDelay() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.fixed(1), 2);
 		for (int i = 0; i < 3; i++) {
 			assertThat(queue.enter("a", 1, PLENTY_MS)).isNotInstanceOf(Ticket.Refused.class);
@@ -36,10 +36,10 @@
 		});
 	}
 
-	// A large team has filled its part of the queue. A small team's request must neither
-	// be refused for that nor wait behind all of the large team's.
+	// A large team has filled its share of the queue. A request of a small team must
+	// neither be refused because of that nor wait behind all requests of the large team.
 	@Test
-	void aSmallTeamPassesTheQueueOfALargeOne() {
+	void aSmallTeamOvertakesTheQueueOfALargeOne() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.fixed(2), 20);
 		for (int i = 0; i < 30; i++) {
 			queue.enter("large", 1, PLENTY_MS);
@@ -60,20 +60,21 @@
 				(refused) -> assertThat(refused.full()).isFalse());
 	}
 
-	// Five times as much is offered as upstreams can serve. Service takes longer the more
-	// run at once; without a learned limit all 256 would run and every one would be late.
+	// The offered load is five times the capacity of the upstreams, and the service time
+	// grows with concurrency. Without an adaptive limit all 256 requests would run and
+	// each would be late.
 	@Test
-	void theLimitSettlesWhereAnswersAreInTimeAndUpstreamsAreBusy() {
+	void theLimitConvergesWhereAnswersAreInTimeAndUpstreamsAreBusy() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 64);
-		offerWhatIsTaken(queue, 0, 1000, 10);
-		assertThat(offerWhatIsTaken(queue, 1000, 4000, 10)).isEqualTo(3000);
+		offerWhatIsAdmitted(queue, 0, 1000, 10);
+		assertThat(offerWhatIsAdmitted(queue, 1000, 4000, 10)).isEqualTo(3000);
 		assertThat(queue.limit()).isBetween(30, 70);
 	}
 
-	// A fresh entry gets forty long drafts at once. Its limit begins low; if only ended
-	// drafts let it grow, most callers would wait in vain beside idle engines.
+	// A new entry receives forty long drafts at once while its limit is low. If the limit
+	// grew only on completed drafts, most callers would wait in vain beside idle engines.
 	@Test
-	void aFreshLimitGrowsWhileLongAnswersRun() {
+	void aNewLimitGrowsWhileLongAnswersRun() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 256);
 		for (int i = 0; i < 40; i++) {
 			queue.enter("a", 1, 60_000);
@@ -85,10 +86,11 @@
 		assertThat(queue.running()).isEqualTo(40);
 	}
 
-	// Regression: the drafts' pace was a little above calm from the start, so the first
-	// growth ended at once and nine of forty long drafts waited in vain.
+	// Regression: the projected durations were slightly above the first growth ratio from
+	// the start, so the fast growth ended at once and nine of forty long drafts waited in
+	// vain.
 	@Test
-	void aLimitGrowsWhileLongAnswersRunAtAFairPaceToo() {
+	void aLimitGrowsAlsoAboveTheFirstGrowthRatio() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 256);
 		for (int i = 0; i < 40; i++) {
 			queue.enter("a", 1, 60_000);
@@ -99,22 +101,23 @@
 		assertThat(queue.running()).isEqualTo(40);
 	}
 
-	// A tenth of the engines degrades or a link slows: what was the right limit is too
-	// much. Answers must be in time again before long, not late for as long as it lasts.
+	// A tenth of the engines degrades or a link slows down, so the previous limit is too
+	// high. Answers must soon be in time again, not late for as long as the slowdown
+	// lasts.
 	@Test
 	void theLimitFallsWhenUpstreamsSlowDown() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.adaptive(256), 64);
-		offerWhatIsTaken(queue, 0, 2000, 10);
-		offerWhatIsTaken(queue, 2000, 3000, 40);
-		assertThat(offerWhatIsTaken(queue, 3000, 4000, 40)).isEqualTo(1000);
+		offerWhatIsAdmitted(queue, 0, 2000, 10);
+		offerWhatIsAdmitted(queue, 2000, 3000, 40);
+		assertThat(offerWhatIsAdmitted(queue, 3000, 4000, 40)).isEqualTo(1000);
 		assertThat(queue.limit()).isBetween(6, 20);
 	}
 
-	private static int offerWhatIsTaken(AdmissionQueue queue, int from, int to, double msEach) {
+	private static int offerWhatIsAdmitted(AdmissionQueue queue, int from, int to, double msEach) {
 		int inTime = 0;
 		for (int i = from; i < to; i++) {
 			while (queue.enter("a", 1, 1000) instanceof Ticket.Admitted) {
-				// Offers more for as long as any is taken.
+				// Offers requests until one is not admitted.
 			}
 			double tookMs = msEach * queue.running();
 			inTime += (tookMs <= 1000) ? 1 : 0;
@@ -124,10 +127,10 @@
 		return inTime;
 	}
 
-	// A large team floods the entry. A small team's request finds the queue full: the
-	// large team's newest makes room and is told at once.
+	// A large team floods the entry, and a request of a small team finds the queue full.
+	// The newest request of the large team must be displaced and refused at once.
 	@Test
-	void aFullQueueMakesRoomForATeamThatWaitsLess() {
+	void aFullQueueDisplacesTheLargestTeamForASmallerOne() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.fixed(1), 4);
 		queue.enter("large", 1, PLENTY_MS);
 		List<Ticket.Waiting> large = new ArrayList<>();
@@ -140,10 +143,10 @@
 		assertThat(large.subList(0, 3)).noneMatch((ticket) -> ticket.admitted().isDone());
 	}
 
-	// The large team's queue is long enough for many deadlines. A small team's request
-	// comes after the next round and must not be refused for the large team's wait.
+	// The large team's queue exceeds many deadlines. A request of a small team is served
+	// after the next round and must not be refused because of the large team's wait.
 	@Test
-	void aSmallTeamIsNotRefusedForAnothersLongQueue() {
+	void aSmallTeamIsNotRefusedBecauseOfAnothersLongQueue() {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.fixed(1), 100);
 		queue.enter("large", 1, PLENTY_MS);
 		queue.leave("large", 1000, 1);
@@ -155,7 +158,7 @@
 	}
 
 	@Property(seed = "51")
-	void runningStaysWithinTheSlotsAndNobodyIsForgotten(
+	void runningStaysWithinTheLimitAndNoWaitingRequestIsLost(
 			@ForAll @Size(max = 200) List<@IntRange(min = 0, max = 5) Integer> actions) {
 		AdmissionQueue queue = new AdmissionQueue(ConcurrencyLimit.fixed(3), 10);
 		Deque<String> running = new ArrayDeque<>();
--- a/whinjunction-core/src/test/java/io/whinjunction/limit/SharedRateTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/limit/SharedRateTests.java
@@ -9,12 +9,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * One router's part of a rate.
+ * Tests for {@link SharedRate}.
  */
 class SharedRateTests {
 
 	@Test
-	void oneIsReadyAfterTheTimeThatItTakes() {
+	void aTokenIsReadyAfterOneIntervalOfTheRate() {
 		SharedRate rate = new SharedRate(0, 1000);
 		rate.setRate(0.5, 1000);
 
@@ -23,7 +23,7 @@
 	}
 
 	@Test
-	void aRateOfNothingIsNeverReady() {
+	void aRateOfZeroIsNeverReady() {
 		SharedRate rate = new SharedRate(1, 0);
 		rate.setRate(0, 0);
 
@@ -31,7 +31,7 @@
 	}
 
 	@Test
-	void aLowerRateHoldsFromThenOn() {
+	void aLowerRateAppliesAtOnce() {
 		SharedRate rate = new SharedRate(0, 0);
 		rate.setRate(10, 0);
 		rate.setRate(0.1, 50);
@@ -41,7 +41,8 @@
 	}
 
 	@Property(tries = 200)
-	void noMoreIsTakenThanOneAndThePartOfTheRate(@ForAll @DoubleRange(min = 0.05, max = 50) double perSecond,
+	void noMoreIsTakenThanOneTokenPlusTheRateOverTheInterval(
+			@ForAll @DoubleRange(min = 0.05, max = 50) double perSecond,
 			@ForAll @DoubleRange(min = 0, max = 1) double saved, @ForAll @IntRange(min = 1, max = 400) int pauseMs,
 			@ForAll @IntRange(min = 0, max = 60_000) int idleMs) {
 		SharedRate rate = new SharedRate(saved, 0);
--- a/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
@@ -25,28 +25,28 @@
 	private static final Team TEAM = new Team("agencia", Set.of(), Set.of(), Set.of("poa"), RATE, 1);
 
 	@Test
-	void aRefusedRequestIsToldWhenToComeBack() {
+	void aRefusedRequestGetsTheTimeUntilATokenIsAvailable() {
 		TeamLimits limits = new TeamLimits();
 		while (limits.tryStart(TEAM, ENTRIES, 0) == 0) {
-			// Uses up the second's worth that a fresh bucket holds.
+			// Empties the new bucket, which holds one second's worth.
 		}
 		long waitMs = limits.tryStart(TEAM, ENTRIES, 0);
 		assertThat(waitMs).isPositive();
 		assertThat(limits.tryStart(TEAM, ENTRIES, waitMs)).isZero();
 	}
 
-	// Regression: the first callers of a team reach an entry within one millisecond. All
-	// but one were refused although the team was far below its rate.
+	// Regression: when the first callers of a team reached an entry within one
+	// millisecond, all but one were refused although the team was far below its rate.
 	@Test
-	void aFirstBurstWithinTheBaseSharePasses() {
+	void aFirstBurstWithinTheBaseShareIsAdmitted() {
 		TeamLimits limits = new TeamLimits();
 		for (int i = 0; i < (int) LimitShares.base(RATE, ENTRIES); i++) {
 			assertThat(limits.tryStart(TEAM, ENTRIES, 0)).isZero();
 		}
 	}
 
-	// All of a team's callers come through one entry. With equal parts alone it would get
-	// an eighth of the rate; the lent half brings it above that.
+	// All callers of a team use one of eight entries. Its base share alone would be a
+	// sixteenth of the rate; the lent half raises it above that.
 	@Test
 	void theLentHalfFollowsTheDemand() {
 		TeamLimits limits = new TeamLimits();
@@ -62,9 +62,9 @@
 		assertThat(started / 20.0).isBetween(RATE * 0.45, RATE);
 	}
 
-	// Owners die, and two entries may each take themselves for the owner for a while: the
-	// new one must not lend again what the old one has lent, or a team would run above
-	// its rate with every failure.
+	// Guards against a team exceeding its rate after each failure of an owner: an owner
+	// crashes, or two entries consider themselves the owner for a while. The new one must
+	// not lend what the old one has already lent.
 	@Property(seed = "41")
 	void theTeamStaysWithinItsRateWhenItsOwnerIsReplaced(@ForAll @IntRange(min = 1, max = 9) int replacedAtS,
 			@ForAll @IntRange(min = 0, max = 1000) int seed) {
@@ -95,7 +95,7 @@
 				}
 			}
 		}
-		// A bucket holds one second's worth at the most, which may come on top once.
+		// A bucket holds at most one second's worth, which may be added once.
 		assertThat(started).isLessThanOrEqualTo((int) (RATE * 11) + ENTRIES);
 	}
 
@@ -108,7 +108,7 @@
 	}
 
 	@Test
-	void anEntryBelowItsBaseShareAsksNobody() {
+	void anEntryBelowItsBaseShareRequestsNoLoan() {
 		TeamLimits limits = new TeamLimits();
 		limits.tryStart(TEAM, ENTRIES, 0);
 		assertThat(limits.demandBeyondBase(TEAM, ENTRIES, 1000)).isZero();
