--- a/whinjunction-core/src/main/java/io/whinjunction/lease/FencingNumbers.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/FencingNumbers.java
@@ -3,28 +3,30 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * Fencing numbers that go up also where the store has come back from an older copy.
+ * Computes fencing numbers that keep increasing after the store was restored from an
+ * older copy.
  * <p>
- * The failure it guards against: the copy knows neither the last holders of the lease nor
- * their numbers, and a write that was claimed before may still be carried out and put an
- * earlier number back. Counted on from what the lease says, a number is given out twice,
- * or engines refuse a new holder for good, since they have seen a higher one. Therefore a
- * number follows from the version that its write replaces: each one is replaced once, and
- * later ones are higher.
+ * Guards against duplicate and decreasing numbers after a restore: the copy contains
+ * neither the last holders of the lease nor their numbers, and a write that was issued
+ * before the restore may still be executed and put back an earlier number. If the number
+ * in the lease were simply incremented, a number could be issued twice, or engines would
+ * permanently refuse a new holder because they have seen a higher number. A number is
+ * therefore derived from the version that the holder's write replaces: each version is
+ * replaced once, and later versions are higher.
  * <p>
  * Stateless.
  */
 final class FencingNumbers {
 
-	/** How many numbers an era has: more than a store has revisions. */
+	/** The numbers reserved for an era; more than a store has revisions. */
 	private static final long NUMBERS_PER_ERA = 1L << 32;
 
 	private FencingNumbers() {
 	}
 
 	/**
-	 * The number of the next holder.
-	 * @param seen the number that stands in the lease
+	 * Returns the number of the next holder.
+	 * @param seen the number stored in the lease
 	 * @param replaced the version of the lease that the holder's write replaces
 	 * @return a number that no earlier holder has had
 	 */
@@ -33,17 +35,18 @@
 	}
 
 	/**
-	 * Whether a number was given out in an era, and not in one before it.
+	 * Returns whether a number was issued in an era, not in an earlier one.
 	 * @param number the number
 	 * @param era the era
-	 * @return {@code false} for the numbers that a copy of the store has kept
+	 * @return {@code false} for numbers that were restored with an older copy of the
+	 * store
 	 */
 	static boolean issuedInEra(long number, long era) {
 		return number > era * NUMBERS_PER_ERA;
 	}
 
 	/**
-	 * The highest number that can have been given out.
+	 * Returns the highest number that can have been issued up to a version.
 	 * @param version the version of the lease
 	 * @return the number
 	 */
--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaderElector.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaderElector.java
@@ -13,14 +13,14 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Holds, or waits for, a lease in the object API.
+ * Holds a lease in the object API or waits for it.
  * <p>
- * {@link LeaseCandidate} decides; this class makes the calls. Confined to one thread, but for
- * {@link #holds()} and {@link #fencing()}.
+ * {@link LeaseCandidate} makes the decisions; this class makes the calls. Confined to one
+ * thread, except for {@link #holds()} and {@link #fencing()}.
  */
 public final class LeaderElector {
 
-	/** This store never comes back from an older copy. */
+	/** This store is never restored from an older copy. */
 	private static final long ONLY_ERA = 0;
 
 	private final ObjectStore store;
@@ -29,76 +29,78 @@
 
 	private final String holder;
 
-	private final LeaseCandidate term;
+	private final LeaseCandidate candidate;
 
 	private final Ticker ticker;
 
 	private final Supplier<String> nonces;
 
 	/**
-	 * A candidate.
+	 * Creates a candidate that does not hold the lease.
 	 * @param store the object API
-	 * @param key the lease's object
-	 * @param holder this process
-	 * @param timeToLiveMs after how long without renewal others take over
+	 * @param key the key of the lease's object
+	 * @param holder the name of this process
+	 * @param timeToLiveMs after how long without renewal other candidates take over, in
+	 * milliseconds
 	 * @param ticker the clock
-	 * @param nonces values that no other writer has
+	 * @param nonces a source of values that no other writer uses
 	 */
 	public LeaderElector(ObjectStore store, String key, String holder, long timeToLiveMs, Ticker ticker,
 			Supplier<String> nonces) {
 		this.store = store;
 		this.key = key;
 		this.holder = holder;
-		this.term = new LeaseCandidate(holder, timeToLiveMs);
+		this.candidate = new LeaseCandidate(holder, timeToLiveMs);
 		this.ticker = ticker;
 		this.nonces = nonces;
 	}
 
 	/**
-	 * Renews or tries to take over; called a few times per time to live.
+	 * Renews the lease or tries to take it over; called several times per time to live.
 	 */
 	public void renewOrAcquire() {
 		long startMs = this.ticker.nowMs();
 		switch (this.store.read(this.key)) {
-			case Read.Found found -> consider(found, startMs);
-			case Read.Absent ignored -> this.term.absent(ONLY_ERA, startMs).ifPresent((claim) -> write(claim, startMs));
+			case Read.Found found -> evaluate(found, startMs);
+			case Read.Absent ignored ->
+				this.candidate.absent(ONLY_ERA, startMs).ifPresent((claim) -> write(claim, startMs));
 			case Read.Unavailable ignored -> {
-				// Nothing can be renewed; holds() runs out by itself.
+				// No renewal is possible; holds() becomes false when the lease expires.
 			}
 		}
 	}
 
 	/**
-	 * Whether this process may act as the holder now.
-	 * @return {@code false} as soon as another might hold it
+	 * Returns whether this process may act as the holder now.
+	 * @return {@code false} as soon as another process might hold the lease
 	 */
 	public boolean holds() {
-		return this.term.holds(this.ticker.nowMs());
+		return this.candidate.holds(this.ticker.nowMs());
 	}
 
 	/**
-	 * The fencing number to put on orders.
+	 * Returns the fencing number to send with orders.
 	 * @return the number of the last lease held
 	 */
 	public long fencing() {
-		return this.term.fencing();
+		return this.candidate.fencing();
 	}
 
 	/**
-	 * Gives the lease up, so that another need not wait.
+	 * Releases the lease, so that other candidates need not wait for its expiry.
 	 */
 	public void resign() {
 		if (holds() && this.store.read(this.key) instanceof Read.Found found
 				&& Record.parse(found.value()).holder().equals(this.holder)) {
-			this.term.lost();
-			this.store.write(this.key, new Record("", this.term.fencing(), this.nonces.get()).toJson(),
+			this.candidate.lost();
+			this.store.write(this.key, new Record("", this.candidate.fencing(), this.nonces.get()).toJson(),
 					found.version());
 		}
 	}
 
-	private void consider(Read.Found found, long startMs) {
+	private void evaluate(Read.Found found, long startMs) {
 		Record record = Record.parse(found.value());
-		this.term.seen(record.holder(), record.fencing(), version(found.version()), this.ticker.nowMs())
+		this.candidate.seen(record.holder(), record.fencing(), version(found.version()), this.ticker.nowMs())
 			.ifPresent((claim) -> write(claim, startMs));
 	}
 
@@ -107,10 +109,10 @@
 		Record record = new Record(this.holder, claim.fencing(), nonce);
 		Write write = this.store.write(this.key, record.toJson(), claim.expectedVersion().revision());
 		if (write instanceof Write.Written written) {
-			this.term.written(claim, version(written.version()), startMs);
+			this.candidate.written(claim, version(written.version()), startMs);
 		}
 		else if (write instanceof Write.Uncertain && readBack(nonce)) {
-			this.term.written(claim, claim.expectedVersion(), startMs);
+			this.candidate.written(claim, claim.expectedVersion(), startMs);
 		}
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/LeaseCandidate.java
@@ -5,25 +5,26 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * The decisions of one candidate for a lease, without calls or a clock of their own.
+ * Makes the decisions of one candidate for a lease, without calls or a clock of its own.
  * <p>
- * No clock is compared between processes: a candidate takes over after it has itself seen
- * the lease unchanged for the whole time to live. A holder may be paused and believe that
- * it holds on; therefore it stops acting a while earlier by its own clock, and everything
- * it orders carries a fencing number that goes up with each change of holder.
+ * Clocks are never compared between processes: a candidate takes over after it has itself
+ * observed the lease unchanged for the full time to live. A holder may be paused and
+ * still consider itself the holder. It therefore stops acting some time before the lease
+ * expires, by its own clock, and all its orders carry a fencing number that increases
+ * with each change of holder.
  * <p>
- * Where the store has come back from an older copy, the lease is gone or as it was long
- * ago, while its last holder may still act: nobody takes it over before that one has
+ * After the store was restored from an older copy, the lease is missing or outdated while
+ * its last holder may still act. No other candidate takes it over before that holder has
  * stopped.
  * <p>
- * Invariants: fencing numbers only go up, also from one era of the store to the next;
+ * Invariants: fencing numbers only increase, also from one era of the store to the next;
  * {@link #holds} is true only within {@link #ACTIVE_RATIO} of the time to live after the
- * start of the last confirmed write, and not beyond the era of that write. Writes are
- * confined to one thread; {@link #holds} and {@link #fencing} are safe for all.
+ * start of the last confirmed write, and not beyond the era of that write. State changes
+ * are confined to one thread; {@link #holds} and {@link #fencing} are thread-safe.
  */
 public final class LeaseCandidate {
 
-	/** The part of the time to live during which a holder acts. */
+	/** The ratio of the time to live during which a holder acts. */
 	static final double ACTIVE_RATIO = 0.6;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
@@ -32,14 +33,14 @@
 
 	private final long timeToLiveMs;
 
-	/** The version that was read last; {@code null} before the first. */
+	/** The version that was read last; {@code null} before the first read. */
 	private StoreVersion seenVersion;
 
 	private long seenSinceMs;
 
 	private long restoredAtMs = NEVER;
 
-	/** Whether this process was the holder when the store came back. */
+	/** Whether this process was the holder when the store was restored. */
 	private boolean heldAtRestore;
 
 	private Claim current;
@@ -49,9 +50,9 @@
 	private volatile long fencing;
 
 	/**
-	 * A candidate.
-	 * @param holder this process
-	 * @param timeToLiveMs after how long without a change others take over, in
+	 * Creates a candidate that does not hold the lease.
+	 * @param holder the name of this process
+	 * @param timeToLiveMs after how long without a change other candidates take over, in
 	 * milliseconds
 	 */
 	public LeaseCandidate(String holder, long timeToLiveMs) {
@@ -60,8 +61,8 @@
 	}
 
 	/**
-	 * The store has come back from an older copy.
-	 * @param nowMs when that was heard
+	 * Records that the store was restored from an older copy.
+	 * @param nowMs when this process learned of the restore
 	 */
 	public void storeRestored(long nowMs) {
 		this.heldAtRestore = holds(nowMs);
@@ -71,73 +72,73 @@
 	}
 
 	/**
-	 * Whether this process was the holder when the store came back.
-	 * @return {@code true} until it has written the lease again, or another one has
+	 * Returns whether this process was the holder when the store was restored.
+	 * @return {@code true} until this or another process has written the lease again
 	 */
 	public boolean heldAtRestore() {
 		return this.heldAtRestore;
 	}
 
 	/**
-	 * There is no lease yet, or it is lost.
+	 * Handles a read that found no lease: there is none yet, or the store has lost it.
 	 * @param era the store's era
 	 * @param nowMs the time
-	 * @return the claim to write, or empty where an earlier holder may still act
+	 * @return the claim to write, or empty if an earlier holder may still act
 	 */
 	public Optional<Claim> absent(long era, long nowMs) {
 		StoreVersion none = new StoreVersion(era, 0);
 		return settled(nowMs) ? Optional.of(new Claim(FencingNumbers.next(0, none), none)) : Optional.empty();
 	}
 
-	// Beside the last holder nobody can have acted when the store came back, so that one
-	// need not wait.
+	// Only the last holder can have acted when the store was restored, so it need not
+	// wait.
 	private boolean settled(long nowMs) {
 		return this.heldAtRestore || nowMs - this.restoredAtMs >= this.timeToLiveMs;
 	}
 
 	/**
-	 * The lease was read. A read may take long, and what it brings may have been written
-	 * at its very end: dated from its beginning, the lease would seem unchanged for
-	 * longer than it is, and two could hold it.
-	 * @param seenHolder who holds it; empty where it was given up
+	 * Handles a read of the lease. A read may take long and return a value that was
+	 * written just before it completed. Dated from its start, the lease would appear to
+	 * be unchanged for longer than it is, and two processes could hold it.
+	 * @param seenHolder the holder; empty if the lease was released
 	 * @param seenFencing its fencing number
 	 * @param version its version
-	 * @param nowMs when the read had ended
-	 * @return the claim to write, or empty where another one holds it
+	 * @param nowMs when the read completed
+	 * @return the claim to write, or empty if another process holds the lease
 	 */
 	public Optional<Claim> seen(String seenHolder, long seenFencing, StoreVersion version, long nowMs) {
 		if (!version.equals(this.seenVersion)) {
 			this.seenVersion = version;
 			this.seenSinceMs = nowMs;
 		}
-		// A name alone does not prove it: an earlier life of this process may have
-		// been the holder.
+		// The name alone is no proof: the holder may have been a previous incarnation of
+		// this process.
 		boolean ours = seenHolder.equals(this.holder) && seenFencing == this.fencing && holds(nowMs);
-		// Another one has written it in this era.
+		// A number of this era shows that another process has written the lease since.
 		this.heldAtRestore &= !FencingNumbers.issuedInEra(seenFencing, version.era());
 		boolean free = (seenHolder.isEmpty() || this.heldAtRestore) && settled(nowMs);
-		boolean lapsed = nowMs - this.seenSinceMs >= this.timeToLiveMs;
+		boolean expired = nowMs - this.seenSinceMs >= this.timeToLiveMs;
 		if (ours) {
 			return Optional.of(new Claim(seenFencing, version));
 		}
-		return (free || lapsed) ? Optional.of(new Claim(FencingNumbers.next(seenFencing, version), version))
+		return (free || expired) ? Optional.of(new Claim(FencingNumbers.next(seenFencing, version), version))
 				: Optional.empty();
 	}
 
 	/**
-	 * The claim that renews the lease without reading it before.
+	 * Returns the claim that renews the lease without a read before.
 	 * @param nowMs the time
-	 * @return the claim, or empty where this process doesn't hold the lease
+	 * @return the claim, or empty if this process does not hold the lease
 	 */
 	public Optional<Claim> renewal(long nowMs) {
 		return holds(nowMs) ? Optional.ofNullable(this.current) : Optional.empty();
 	}
 
 	/**
-	 * A claim was written.
+	 * Records that a claim was written.
 	 * @param claim the claim
-	 * @param version the version that it has now
-	 * @param startMs when the write was begun
+	 * @param version the version that the lease has now
+	 * @param startMs when the write was started
 	 */
 	public void written(Claim claim, StoreVersion version, long startMs) {
 		this.heldAtRestore = false;
@@ -146,23 +147,25 @@
 		this.renewedAtMs = startMs;
 	}
 
-	/** Another process has written the lease, or this one gives it up. */
+	/**
+	 * Records that another process has written the lease or that this one releases it.
+	 */
 	public void lost() {
 		this.current = null;
 		this.renewedAtMs = NEVER;
 	}
 
 	/**
-	 * Whether this process may act as the holder.
+	 * Returns whether this process may act as the holder.
 	 * @param nowMs the time
-	 * @return {@code false} as soon as another might hold it
+	 * @return {@code false} as soon as another process might hold the lease
 	 */
 	public boolean holds(long nowMs) {
 		return nowMs - this.renewedAtMs < this.timeToLiveMs * ACTIVE_RATIO;
 	}
 
 	/**
-	 * The fencing number to put on orders.
+	 * Returns the fencing number to send with orders.
 	 * @return the number of the last lease held
 	 */
 	public long fencing() {
@@ -170,11 +173,11 @@
 	}
 
 	/**
-	 * A write that takes or renews the lease. Immutable.
+	 * A write that acquires or renews the lease. Immutable.
 	 *
 	 * @param fencing the fencing number to write
-	 * @param expectedVersion the version to replace; its revision is 0 where there is
-	 * none
+	 * @param expectedVersion the version to replace; its revision is 0 if there is no
+	 * lease
 	 */
 	public record Claim(long fencing, StoreVersion expectedVersion) {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/lease/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/lease/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A lease in the object API with a fencing number.
+ * Leases with fencing numbers.
  */
 package io.whinjunction.lease;
--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionClaims.java
@@ -12,22 +12,22 @@
 import io.whinjunction.platform.ObjectStore.Write;
 
 /**
- * Keeps that an action runs at most once, across entries, by a conditional create in the
- * object API.
+ * Ensures that an action runs at most once across all entries, by a conditional create in
+ * the object API.
  * <p>
- * The failures it is there for: two entries get the same action at the same time; an
- * entry dies between claim and answer; the reply to the claim's write is lost. The
- * platform lets one create win; a writer knows its own by its nonce when it reads back;
- * and a claim without an answer is never sent again by anybody else, since nobody can
- * tell whether its holder has sent it.
+ * Guards against these failures: two entries receive the same action at the same time; an
+ * entry crashes between claim and answer; the reply to the write of the claim is lost.
+ * The platform lets exactly one create succeed. A writer recognises its own claim by the
+ * nonce when it reads it back. An action whose claim has no answer is never sent by
+ * another process, since it is unknown whether the holder has sent it.
  * <p>
- * Invariants: {@link ClaimResult.Acquired} is given for an action at most once, unless the claim
- * was {@linkplain #release released} unsent; a claim given up unsent is taken back by
- * this process alone, once. Safe for all threads; calls block on the platform.
+ * Invariants: {@link ClaimResult.Acquired} is returned for an action at most once, unless
+ * the claim was {@linkplain #release released} unsent; a claim that was abandoned unsent
+ * is reacquired only by this process, and once. Thread-safe; calls block on the platform.
  */
 public final class ActionClaims {
 
-	/** Larger answers are not kept; a repeat of such an action is told so. */
+	/** Larger bodies are not stored; the answer to a repeated action states that. */
 	static final int MAX_KEPT_BODY_BYTES = 512 << 10;
 
 	private static final int MAX_ABANDONED = 10_000;
@@ -40,7 +40,10 @@
 
 	private final LongSupplier epochS;
 
-	/** Nonces that may still turn up in the platform but never were sent with. */
+	/**
+	 * Abandoned claims by nonce: they may still appear in the platform, but nothing was
+	 * sent under them.
+	 */
 	private final Map<String, Claim> abandoned = new LinkedHashMap<>() {
 
 		@Override
@@ -51,10 +54,10 @@
 	};
 
 	/**
-	 * Claims in a store.
+	 * Creates the claims of one process.
 	 * @param store the object API
-	 * @param nonces a source of values that no other writer has
-	 * @param epochS the wall clock in seconds, only to date claims for clearing up
+	 * @param nonces a source of values that no other writer uses
+	 * @param epochS the wall clock in seconds, used only to date claims for their removal
 	 */
 	public ActionClaims(ObjectStore store, Supplier<String> nonces, LongSupplier epochS) {
 		this.store = store;
@@ -65,8 +68,8 @@
 	/**
 	 * Claims an action.
 	 * @param action the action
-	 * @param bodyHash the hash of what would be sent
-	 * @return whether the caller may send it now
+	 * @param bodyHash the hash of the body to send
+	 * @return whether the caller may send the action now
 	 */
 	public ClaimResult claim(ActionName action, String bodyHash) {
 		String nonce = this.nonces.get();
@@ -84,8 +87,9 @@
 					if (!(seen instanceof ClaimResult.NotFound)) {
 						return seen;
 					}
-					// Neither written nor refused as far as can be seen: the same nonce
-					// again, so that a late effect of the first is still recognised.
+					// The write has neither visibly succeeded nor failed. It is repeated
+					// with the same nonce, so that a late effect of the first try is
+					// recognised.
 				}
 			}
 		}
@@ -94,10 +98,10 @@
 	}
 
 	/**
-	 * Keeps the answer of an action, for repeats.
-	 * @param claim the claim it was sent under
+	 * Stores the answer of an action for repeated requests.
+	 * @param claim the claim under which it was sent
 	 * @param answer the answer
-	 * @return whether the platform has it; where not, the claim stays without an answer
+	 * @return whether it was stored; if not, the claim remains without an answer
 	 */
 	public boolean recordAnswer(Claim claim, StoredAnswer answer) {
 		StoredAnswer kept = (answer.body().length <= MAX_KEPT_BODY_BYTES) ? answer : tooLarge(answer);
@@ -108,11 +112,11 @@
 					return true;
 				}
 				case Write.Conflict ignored -> {
-					// Only an earlier try of ours can have changed a claim of ours.
+					// Only an earlier try of this process can have changed its claim.
 					return true;
 				}
 				case Write.Uncertain ignored -> {
-					// Conditional on the version, so trying again cannot do harm.
+					// The write is conditional on the version, so repeating it is safe.
 				}
 			}
 		}
@@ -120,7 +124,7 @@
 	}
 
 	/**
-	 * Gives a claim back that was certainly not sent.
+	 * Releases a claim under which certainly nothing was sent.
 	 * @param claim the claim
 	 */
 	public void release(Claim claim) {
@@ -130,14 +134,14 @@
 	}
 
 	/**
-	 * Removes claims from the platform that were given up unsent. Called now and then.
-	 * @return how many are still to be removed or watched for
+	 * Removes claims from the platform that were abandoned unsent. Called periodically.
+	 * @return how many are left: not yet removed, or possibly still to appear
 	 */
 	public int sweepAbandoned() {
 		for (Claim claim : abandonedClaims()) {
 			Read read = this.store.read(claim.action().objectKey());
 			if (read instanceof Read.Found found && ClaimRecord.parse(found.value()).nonce().equals(claim.nonce())
-					&& takeBack(claim.nonce()) != null
+					&& reacquire(claim.nonce()) != null
 					&& !(this.store.remove(claim.action().objectKey(), found.version()) instanceof Write.Written)) {
 				abandon(claim);
 			}
@@ -147,13 +151,13 @@
 
 	private ClaimResult readBack(ActionName action, String nonce, String bodyHash) {
 		return switch (this.store.read(action.objectKey())) {
-			case Read.Found found -> judge(action, found, nonce, bodyHash);
+			case Read.Found found -> evaluate(action, found, nonce, bodyHash);
 			case Read.Absent ignored -> new ClaimResult.NotFound();
 			case Read.Unavailable ignored -> new ClaimResult.NotFound();
 		};
 	}
 
-	private ClaimResult judge(ActionName action, Read.Found found, String nonce, String bodyHash) {
+	private ClaimResult evaluate(ActionName action, Read.Found found, String nonce, String bodyHash) {
 		ClaimRecord record = ClaimRecord.parse(found.value());
 		if (!record.bodyHash().equals(bodyHash)) {
 			return new ClaimResult.BodyMismatch();
@@ -161,7 +165,7 @@
 		if (record.answer() != null) {
 			return new ClaimResult.Answered(record.answer());
 		}
-		boolean ours = record.nonce().equals(nonce) || takeBack(record.nonce()) != null;
+		boolean ours = record.nonce().equals(nonce) || reacquire(record.nonce()) != null;
 		return ours ? new ClaimResult.Acquired(new Claim(action, record.nonce(), bodyHash, found.version()))
 				: new ClaimResult.InDoubt();
 	}
@@ -174,7 +178,7 @@
 		this.abandoned.put(claim.nonce(), claim);
 	}
 
-	private synchronized Claim takeBack(String nonce) {
+	private synchronized Claim reacquire(String nonce) {
 		return this.abandoned.remove(nonce);
 	}
 
@@ -183,12 +187,12 @@
 	}
 
 	/**
-	 * What became of a claim.
+	 * The result of a claim.
 	 */
 	public sealed interface ClaimResult {
 
 		/**
-		 * The action may be sent, once, by whoever got this.
+		 * The claim was acquired; its receiver may send the action once.
 		 *
 		 * @param claim the claim
 		 */
@@ -196,33 +200,34 @@
 		}
 
 		/**
-		 * The action ran; this was its answer.
+		 * The action has already run.
 		 *
-		 * @param answer the first answer
+		 * @param answer its first answer
 		 */
 		record Answered(StoredAnswer answer) implements ClaimResult {
 		}
 
 		/**
-		 * Somebody claimed it and no answer is known: it runs, ran, or never will.
+		 * The action was claimed and has no stored answer: it is running, has run, or
+		 * will never run.
 		 */
 		record InDoubt() implements ClaimResult {
 		}
 
 		/**
-		 * The key was used with another body.
+		 * The idempotency key was used with a different body.
 		 */
 		record BodyMismatch() implements ClaimResult {
 		}
 
 		/**
-		 * The platform did not take the claim: the action must not be sent.
+		 * The platform did not confirm the claim; the action must not be sent.
 		 */
 		record StoreUnavailable() implements ClaimResult {
 		}
 
 		/**
-		 * Nothing is seen there; internal.
+		 * The claim was not found when it was read back; internal.
 		 */
 		record NotFound() implements ClaimResult {
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/once/ActionName.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ActionName.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 
 /**
- * Names an action that must not be repeated. Immutable.
+ * Identifies an action that must not be repeated. Immutable.
  *
  * @param team the team
  * @param service the service
@@ -14,12 +14,12 @@
  */
 public record ActionName(String team, String service, String idempotencyKey) {
 
-	/** Where claims stand in the object API. */
+	/** The prefix of the keys of claims in the object API. */
 	public static final String PREFIX = "once/";
 
 	/**
-	 * The key of its claim in the object API; the caller's key is hashed, since it is the
-	 * caller's data.
+	 * Returns the key of its claim in the object API. The idempotency key is hashed
+	 * because it is caller data.
 	 * @return the key
 	 */
 	public String objectKey() {
@@ -28,8 +28,8 @@
 	}
 
 	/**
-	 * SHA-256 in lower-case hexadecimal.
-	 * @param bytes what to hash
+	 * Returns the SHA-256 hash in lower-case hexadecimal.
+	 * @param bytes the parts to hash
 	 * @return 64 digits
 	 */
 	public static String sha256(byte[]... bytes) {
@@ -37,7 +37,7 @@
 			MessageDigest digest = MessageDigest.getInstance("SHA-256");
 			for (byte[] part : bytes) {
 				digest.update(part);
-				// A separator, so that parts cannot be shifted into each other.
+				// A separator, so that the boundaries between parts are part of the hash.
 				digest.update((byte) 0);
 			}
 			return HexFormat.of().formatHex(digest.digest());
--- a/whinjunction-core/src/main/java/io/whinjunction/once/ClaimRecord.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/ClaimRecord.java
@@ -12,11 +12,12 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * A claim as it stands in the object API. Immutable.
+ * A claim as stored in the object API. Immutable.
  *
- * @param nonce the holder's mark
- * @param bodyHash the hash of what is sent
- * @param createdAtS when it was made, in seconds of the epoch; only for clearing up
+ * @param nonce the unique value by which its holder recognises it
+ * @param bodyHash the hash of the body to send
+ * @param createdAtS when it was last written, in seconds since the epoch; used only for
+ * its removal
  * @param answer the answer, or {@code null} while there is none
  */
 record ClaimRecord(String nonce, String bodyHash, long createdAtS, StoredAnswer answer) {
@@ -44,7 +45,7 @@
 					node.path("created-at-s").asLong(0), answer(node));
 		}
 		catch (JacksonException ex) {
-			// Unreadable: somebody holds it, nobody knows its state.
+			// Unreadable: treated as a claim of another process without an answer.
 			return new ClaimRecord("", "", 0, null);
 		}
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/once/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/once/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Actions that must not be repeated run at most once.
+ * At-most-once execution of actions that must not be repeated.
  */
 package io.whinjunction.once;
--- a/whinjunction-core/src/main/java/io/whinjunction/order/PlacementPlanner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/order/PlacementPlanner.java
@@ -15,9 +15,9 @@
 /**
  * Plans which upstreams hold which layers.
  * <p>
- * Level-triggered: it compares what is wanted with what engines report, each time anew,
- * so that a lost, doubled or late order only costs one more round. Ranges without a
- * holder come first. Stateless.
+ * Level-triggered: each plan compares the desired state with what engines report, so that
+ * a lost, duplicated or late order only costs one more round. Ranges without a holder
+ * come first. Stateless.
  */
 public final class PlacementPlanner {
 
@@ -26,14 +26,14 @@
 
 	/**
 	 * Plans the next orders.
-	 * @param configuration what is wanted
-	 * @param upstreams what engines report
-	 * @param mostLoading how many engines may read weights at once, which bounds the load
-	 * on the weight store
-	 * @param loading how many do now
+	 * @param configuration the desired state
+	 * @param upstreams the state that engines report
+	 * @param maxLoading how many engines may read weights at the same time, which bounds
+	 * the load on the weight store
+	 * @param loading how many engines are reading weights now
 	 * @return moves, the most urgent first
 	 */
-	public static List<Move> plan(Configuration configuration, List<Upstream> upstreams, int mostLoading, int loading) {
+	public static List<Move> plan(Configuration configuration, List<Upstream> upstreams, int maxLoading, int loading) {
 		List<Move> moves = new ArrayList<>();
 		for (Service service : configuration.services().values()) {
 			if (service instanceof Service.Model model) {
@@ -41,15 +41,15 @@
 			}
 		}
 		moves.sort(Comparator.comparingInt(Move::holdersNow));
-		return moves.subList(0, Math.max(0, Math.min(moves.size(), mostLoading - loading)));
+		return moves.subList(0, Math.max(0, Math.min(moves.size(), maxLoading - loading)));
 	}
 
 	/**
-	 * An upstream to be given a range.
+	 * The assignment of a layer range to an upstream.
 	 *
 	 * @param upstream the upstream
 	 * @param range the layers it should hold
-	 * @param holdersNow how many hold them already
+	 * @param holdersNow how many upstreams hold them already
 	 */
 	public record Move(Upstream upstream, LayerRange range, int holdersNow) {
 	}
@@ -78,7 +78,8 @@
 					this.holders.get(upstream.range()).add(upstream);
 				}
 				else {
-					// Spare, or on layers that the configuration no longer has.
+					// A spare, or an engine with layers that the configuration no longer
+					// contains.
 					this.spares.add(upstream);
 				}
 			}
@@ -89,13 +90,13 @@
 			boolean progress = true;
 			while (progress) {
 				progress = false;
-				for (LayerRange range : shortestFirst()) {
+				for (LayerRange range : fewestHoldersFirst()) {
 					progress |= fill(range, moves);
 				}
 			}
 		}
 
-		private List<LayerRange> shortestFirst() {
+		private List<LayerRange> fewestHoldersFirst() {
 			List<LayerRange> ranges = new ArrayList<>(this.model.ranges());
 			ranges.sort(Comparator.comparingInt((LayerRange range) -> this.holders.get(range).size())
 				.thenComparing(Comparator.naturalOrder()));
@@ -103,32 +104,34 @@
 		}
 
 		private boolean fill(LayerRange range, List<Move> moves) {
-			List<Upstream> present = this.holders.get(range);
-			if (present.size() >= this.model.upstreamsPerRange()) {
+			List<Upstream> current = this.holders.get(range);
+			if (current.size() >= this.model.upstreamsPerRange()) {
 				return false;
 			}
 			Upstream taken = takeSpare(range);
 			if (taken == null) {
-				// An empty range stops the whole model, so it may take the last but one.
-				taken = takeFromRichest(present.isEmpty() ? 1 : this.model.upstreamsPerRange());
+				// A range without a holder stops the entire model, so it may reduce
+				// another range to one holder.
+				taken = takeFromLargest(current.isEmpty() ? 1 : this.model.upstreamsPerRange());
 			}
 			if (taken == null) {
 				return false;
 			}
-			moves.add(new Move(taken, range, present.size()));
-			present.add(taken);
+			moves.add(new Move(taken, range, current.size()));
+			current.add(taken);
 			return true;
 		}
 
-		private Upstream takeFromRichest(int leaveAtLeast) {
-			List<Upstream> richest = this.holders.values().stream().max(Comparator.comparingInt(List::size)).get();
-			if (richest.size() <= leaveAtLeast) {
+		private Upstream takeFromLargest(int minRemaining) {
+			List<Upstream> largest = this.holders.values().stream().max(Comparator.comparingInt(List::size)).get();
+			if (largest.size() <= minRemaining) {
 				return null;
 			}
-			// The one with the least work loses the fewest caches.
-			Upstream idlest = richest.stream().min(Comparator.comparingInt(Upstream::reportedRunning)).get();
-			richest.remove(idlest);
-			return idlest;
+			// Moving the upstream with the fewest running requests loses the fewest
+			// caches.
+			Upstream leastLoaded = largest.stream().min(Comparator.comparingInt(Upstream::reportedRunning)).get();
+			largest.remove(leastLoaded);
+			return leastLoaded;
 		}
 
 		private Upstream takeSpare(LayerRange range) {
@@ -136,9 +139,12 @@
 			long least = Long.MAX_VALUE;
 			for (Upstream spare : this.spares) {
 				String place = place(spare);
-				long there = this.holders.get(range).stream().filter((holder) -> place(holder).equals(place)).count();
-				if (there < least) {
-					least = there;
+				long holdersInPlace = this.holders.get(range)
+					.stream()
+					.filter((holder) -> place(holder).equals(place))
+					.count();
+				if (holdersInPlace < least) {
+					least = holdersInPlace;
 					best = spare;
 				}
 			}
--- a/whinjunction-core/src/main/java/io/whinjunction/order/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/order/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which upstream should hold which layers.
+ * Planning of which upstream holds which layers.
  */
 package io.whinjunction.order;
--- a/whinjunction-core/src/test/java/io/whinjunction/order/PlacementPlannerTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/order/PlacementPlannerTests.java
@@ -29,7 +29,7 @@
 			Map.of("llm", new Service.Model("llm", 16, List.of(LOWER, UPPER), true, 2, 1000, 1000)), Map.of());
 
 	@Test
-	void nothingIsOrderedWhereEverythingIsHeld() {
+	void noOrderIsPlannedIfEveryRangeHasItsHolders() {
 		assertThat(plan(4, 0, held("a", LOWER), held("b", LOWER), held("c", UPPER), held("d", UPPER), spare("s")))
 			.isEmpty();
 	}
@@ -50,31 +50,31 @@
 			.isEqualTo(UPPER);
 	}
 
-	// The last holders of the upper layers die and there is no spare: the whole model
-	// would stand still although the lower layers have two holders.
+	// The last holders of the upper layers crash and there is no spare. Without the move
+	// the entire model would stall although the lower layers have two holders.
 	@Test
-	void withoutASpareTheRichestRangeGivesAHolderToAnEmptyOne() {
+	void withoutASpareARangeWithoutHoldersGetsOneOfTheLargestRange() {
 		assertThat(plan(4, 0, held("a", LOWER), held("b", LOWER))).singleElement()
 			.extracting(Move::range)
 			.isEqualTo(UPPER);
 	}
 
-	// Regression: spares had replaced engines that came back later, so their ranges had
-	// one holder too many and no spare was left when another range lost one.
+	// Regression: spares had replaced engines that later returned. Their ranges had one
+	// surplus holder, and no spare was left when another range lost a holder.
 	@Test
-	void withoutASpareASurplusHolderFillsAGap() {
+	void withoutASpareASurplusHolderFillsALayerGap() {
 		assertThat(plan(4, 0, held("a", LOWER), held("b", LOWER), held("b2", LOWER), held("c", UPPER))).singleElement()
 			.extracting(Move::range)
 			.isEqualTo(UPPER);
 	}
 
 	@Test
-	void noRangeIsBroughtBelowWhatIsWantedToFillAnother() {
+	void noRangeIsReducedBelowItsDesiredSizeToFillAnother() {
 		assertThat(plan(4, 0, held("a", LOWER), held("b", LOWER), held("c", UPPER))).isEmpty();
 	}
 
-	// A failure domain dies and many engines have to read weights: the weight store gives
-	// a limited rate, so orders are held back, not all given at once.
+	// A failure domain is lost and many engines must read weights. The weight store has a
+	// limited rate, so orders are held back instead of being issued all at once.
 	@Test
 	void ordersAreBoundedByTheWeightStoresRate() {
 		assertThat(plan(3, 2, spare("s"), spare("t"), spare("u"), spare("v"))).hasSize(1);
@@ -88,15 +88,15 @@
 	}
 
 	@Test
-	void aSpareIsTakenWhereThePlaceHasFewerHolders() {
+	void aSpareInThePlaceWithFewerHoldersIsPreferred() {
 		Upstream far = new Upstream("z", "llm", "h:1", "cxs-a", null, 1, 1, 0, false);
 		assertThat(plan(4, 0, held("a", LOWER), held("c", UPPER), held("d", UPPER), spare("s"), far)).singleElement()
 			.extracting((move) -> move.upstream().id())
 			.isEqualTo("z");
 	}
 
-	private static List<Move> plan(int mostLoading, int loading, Upstream... upstreams) {
-		return PlacementPlanner.plan(WANTED, new ArrayList<>(List.of(upstreams)), mostLoading, loading);
+	private static List<Move> plan(int maxLoading, int loading, Upstream... upstreams) {
+		return PlacementPlanner.plan(WANTED, new ArrayList<>(List.of(upstreams)), maxLoading, loading);
 	}
 
 	private static Upstream held(String id, LayerRange range) {
