--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
@@ -217,7 +217,8 @@
 			public void token(String token) {
 				long nowNs = System.nanoTime();
 				this.count++;
-				this.queue.recordProgress(nowNs / 1_000_000, (nowNs - this.enteredNs) / 1e6 * TOKENS / this.count, DEADLINE_MS);
+				this.queue.recordProgress(nowNs / 1_000_000, (nowNs - this.enteredNs) / 1e6 * TOKENS / this.count,
+						DEADLINE_MS);
 			}
 
 			@Override
--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftRequest.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftRequest.java
@@ -14,8 +14,8 @@
  * @param model the model
  * @param placement where its data may be at the time of asking; {@code null}: nowhere, or
  * not known any more
- * @param awaitPlacement the same for a draft that has begun, which may wait for the answer until
- * what it is given says that the wait is over
+ * @param awaitPlacement the same for a draft that has begun, which may wait for the
+ * answer until what it is given says that the wait is over
  * @param prompt the prompt; never logged
  * @param maxTokens how many tokens to make
  * @param deadlineMs when the answer must be whole, on the entry's ticker
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -62,7 +62,8 @@
 		while (true) {
 			long leftMs = endMs - parts.ticker().nowMs();
 			try {
-				boolean runs = waiting.admitted().get(Math.max(1, Math.min(LOOK_EVERY_MS, leftMs)), TimeUnit.MILLISECONDS);
+				boolean runs = waiting.admitted()
+					.get(Math.max(1, Math.min(LOOK_EVERY_MS, leftMs)), TimeUnit.MILLISECONDS);
 				return runs ? null : Refusal.temporary(Code.OVERLOADED,
 						"More work of the team is waiting than can be done; another team came first.", 1);
 			}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -132,8 +132,8 @@
 		Sent sent = send(sending, false);
 		switch (sent) {
 			case Sent.Answered answered -> this.parts.claims()
-				.recordAnswer(claim, new StoredAnswer(answered.response().status(), passed(answered.response().headers()),
-						answered.response().body()));
+				.recordAnswer(claim, new StoredAnswer(answered.response().status(),
+						passed(answered.response().headers()), answered.response().body()));
 			case Sent.NotSent ignored -> this.parts.claims().release(claim);
 			case Sent.Lost ignored -> {
 				// The claim stays without an answer: nobody sends this action again.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -330,7 +330,8 @@
 				return;
 			}
 			long handledMs = bootMs() - (nowMs() - signalledMs);
-			this.stop = new StopSchedule(this.runningTimes.earliestArrivalMs(handledMs), this.settings.bounds().graceMs());
+			this.stop = new StopSchedule(this.runningTimes.earliestArrivalMs(handledMs),
+					this.settings.bounds().graceMs());
 			logger.atInfo()
 				.log("event=stopping callers=%d handled-late-ms=%d others=%d", this.callers.size(), stopAgeMs(),
 						this.peers.others(this.settings.failureDomain(), nowMs()).serving());
