--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftRequest.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftRequest.java
@@ -8,29 +8,29 @@
 import io.whinjunction.place.Placement;
 
 /**
- * One draft to be made. Immutable.
+ * A request for one draft. Immutable.
  *
  * @param id the request id
  * @param model the model
- * @param placement where its data may be at the time of asking; {@code null}: nowhere, or
- * not known any more
- * @param awaitPlacement the same for a draft that has begun, which may wait for the
- * answer until what it is given says that the wait is over
+ * @param placement supplies where its data may be at the time of the call; {@code null}
+ * if nowhere, or if that is no longer known
+ * @param awaitPlacement like {@code placement}, for a draft that has started: may wait
+ * for the result until its argument returns {@code true}
  * @param prompt the prompt; never logged
- * @param maxTokens how many tokens to make
- * @param deadlineMs when the answer must be whole, on the entry's ticker
+ * @param maxTokens how many tokens to generate
+ * @param deadlineMs when the answer must be complete, on the entry's ticker
  */
 public record DraftRequest(String id, Service.Model model, Supplier<Placement> placement,
 		Function<BooleanSupplier, Placement> awaitPlacement, String prompt, int maxTokens, long deadlineMs) {
 
 	/**
-	 * A draft that waits for no permission.
+	 * Creates a request that never waits for its placement.
 	 * @param id the request id
 	 * @param model the model
-	 * @param placement where its data may be at the time of asking
+	 * @param placement supplies where its data may be at the time of the call
 	 * @param prompt the prompt
-	 * @param maxTokens how many tokens to make
-	 * @param deadlineMs when the answer must be whole
+	 * @param maxTokens how many tokens to generate
+	 * @param deadlineMs when the answer must be complete
 	 */
 	public DraftRequest(String id, Service.Model model, Supplier<Placement> placement, String prompt, int maxTokens,
 			long deadlineMs) {
--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftResult.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftResult.java
@@ -5,12 +5,12 @@
 import io.whinjunction.outcome.Outcome;
 
 /**
- * How a draft ended. Immutable.
+ * The result of a draft. Immutable.
  *
- * @param outcome what the caller may be told
- * @param tokens the tokens made so far
+ * @param outcome the outcome to report to the caller
+ * @param tokens the tokens generated so far
  * @param hops where it ran
- * @param attempts how many pipelines were used
+ * @param attempts the number of pipelines used
  */
 public record DraftResult(Outcome outcome, List<String> tokens, List<Hop> hops, int attempts) {
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/DraftSession.java
@@ -21,20 +21,20 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * Follows one draft token by token, relaying activations from stage to stage.
+ * Runs one draft token by token, relaying activations from stage to stage.
  * <p>
- * Invariants: a token is given to the caller once, from one attempt, after each layer ran
- * once in order for it; a new attempt computes the KV cache of earlier tokens again but
- * never gives them out again; "not run" is claimed only while no step was sent. Confined
- * to one (virtual) thread.
+ * Invariants: a token is delivered to the caller once, from one attempt, after each layer
+ * ran for it exactly once and in order; a new attempt recomputes the KV cache of earlier
+ * tokens but never delivers them again; "not run" is reported only if no step was sent.
+ * Confined to one (virtual) thread.
  */
 public final class DraftSession {
 
 	private static final int RETRY_AFTER_S = 1;
 
-	private static final long LEAST_STEP_LIMIT_MS = 250;
+	private static final long MIN_STEP_TIMEOUT_MS = 250;
 
-	private static final double USUAL_TIMES = 20;
+	private static final double STEP_TIMEOUT_FACTOR = 20;
 
 	private final DraftRequest request;
 
@@ -56,7 +56,7 @@
 
 	private final Set<String> avoided = new HashSet<>();
 
-	private final Set<Upstream> touched = new HashSet<>();
+	private final Set<Upstream> contacted = new HashSet<>();
 
 	private Placement placement;
 
@@ -76,10 +76,9 @@
 	}
 
 	/**
-	 * Makes the draft.
-	 * @param sink where tokens go as they come
-	 * @return how it ended; the engines have been told to forget the stream where it did
-	 * not end well
+	 * Runs the draft and cancels its stream on all engines that received a step.
+	 * @param sink receives the tokens as they are generated
+	 * @return the result
 	 */
 	public DraftResult run(TokenSink sink) {
 		this.budget.recordRequest();
@@ -93,7 +92,7 @@
 		this.placement = this.request.placement().get();
 		while (true) {
 			if (this.placement == null) {
-				return givenUp(Code.CONFIGURATION_UNCONFIRMED,
+				return unsuccessful(Code.CONFIGURATION_UNCONFIRMED,
 						"Where the data may be has changed, or is not known any more.");
 			}
 			Choice choice = choose();
@@ -103,28 +102,31 @@
 			this.attempt++;
 			AttemptEnd end = attempt(chosen.pipeline(), sink);
 			switch (end) {
-				case AttemptEnd.Whole ignored -> {
+				case AttemptEnd.Completed ignored -> {
 					return new Outcome.Answered();
 				}
 				case AttemptEnd.CallerGone ignored -> {
-					return givenUp(Code.UPSTREAM_FAILED, "The caller left before the answer was whole.");
+					return unsuccessful(Code.UPSTREAM_FAILED, "The caller left before the answer was whole.");
 				}
-				case AttemptEnd.TooLate ignored -> {
-					return givenUp(Code.DEADLINE, "The answer was not whole before its deadline.");
+				case AttemptEnd.DeadlinePassed ignored -> {
+					return unsuccessful(Code.DEADLINE, "The answer was not whole before its deadline.");
 				}
 				case AttemptEnd.Stopping ignored -> {
-					return givenUp(Code.STOPPING, "This entry stops; its time was up before the answer was whole.");
+					return unsuccessful(Code.STOPPING,
+							"This entry stops; its time was up before the answer was whole.");
 				}
-				case AttemptEnd.RuleChanged ignored -> {
-					// Goes on where the data may be now, or ends; no engine is to blame.
-					// The answer is kept: another question might be a second wait.
+				case AttemptEnd.PlacementChanged ignored -> {
+					// Continues with the new placement or ends; no engine has failed. The
+					// placement is reused, since another request for it could mean a
+					// second wait.
 				}
 				case AttemptEnd.StageFailed ignored -> {
-					if (late()) {
-						return givenUp(Code.DEADLINE, "The answer was not whole before its deadline.");
+					if (deadlinePassed()) {
+						return unsuccessful(Code.DEADLINE, "The answer was not whole before its deadline.");
 					}
 					if (!this.budget.tryRetry()) {
-						return givenUp(Code.UPSTREAM_FAILED, "A stage failed and the budget for retries is used up.");
+						return unsuccessful(Code.UPSTREAM_FAILED,
+								"A stage failed and the budget for retries is used up.");
 					}
 					this.placement = permission(sink);
 				}
@@ -136,7 +138,8 @@
 		Choice choice = this.chooser.pipeline(this.request.model(), this.placement, this.avoided);
 		if (choice instanceof Choice.NoneAlive && !this.avoided.isEmpty()
 				&& this.rounds++ < this.request.model().ranges().size()) {
-			// Every holder has failed this draft; a stall of them all may be over.
+			// Every holder has failed this draft; a stall that affected all of them may
+			// be over.
 			this.avoided.clear();
 			return choose();
 		}
@@ -163,26 +166,28 @@
 	}
 
 	private AttemptEnd tokens(Pipeline pipeline, List<HopRecorder> recorders, TokenSink sink) {
-		// The first step of an attempt computes the prompt and every token the caller
-		// already has, which builds the KV cache of all stages; then one at a time.
+		// The first step of an attempt processes the prompt and all tokens that the
+		// caller already has, which builds the KV cache of all stages. Each later step
+		// processes one token.
 		int position = 0;
 		List<String> inputs = new ArrayList<>();
 		inputs.add(this.request.prompt());
 		inputs.addAll(this.tokens);
 		while (this.tokens.size() < this.request.maxTokens()) {
-			// First, since the answer may be waited for.
+			// Checked first, since it may wait; the conditions below must hold after the
+			// wait.
 			boolean permitted = stillPermitted(pipeline, sink);
 			if (sink.cancelled()) {
 				return new AttemptEnd.CallerGone();
 			}
-			if (late()) {
-				return new AttemptEnd.TooLate();
+			if (deadlinePassed()) {
+				return new AttemptEnd.DeadlinePassed();
 			}
 			if (sink.stopping()) {
 				return new AttemptEnd.Stopping();
 			}
 			if (!permitted) {
-				return new AttemptEnd.RuleChanged();
+				return new AttemptEnd.PlacementChanged();
 			}
 			String token = token(pipeline, recorders, position, inputs);
 			if (token == null) {
@@ -194,11 +199,11 @@
 			this.budget.recordToken();
 			sink.token(token);
 		}
-		return new AttemptEnd.Whole();
+		return new AttemptEnd.Completed();
 	}
 
-	// A place rule may be tightened while a long draft runs; it is in force for the next
-	// token, not only for the next draft.
+	// A place rule that is tightened while a long draft runs applies from the next token,
+	// not only from the next draft.
 	private boolean stillPermitted(Pipeline pipeline, TokenSink sink) {
 		Placement before = this.placement;
 		this.placement = permission(sink);
@@ -206,12 +211,13 @@
 				&& pipeline.stages().stream().allMatch((stage) -> this.placement.permits(stage.failureDomain())));
 	}
 
-	// A draft of which nothing was sent doesn't wait: it can be told "not run" at once.
+	// A draft of which nothing was sent does not wait, since "not run" can be reported at
+	// once.
 	private Placement permission(TokenSink sink) {
-		if (this.touched.isEmpty()) {
+		if (this.contacted.isEmpty()) {
 			return this.request.placement().get();
 		}
-		return this.request.awaitPlacement().apply(() -> sink.cancelled() || late() || sink.stopping());
+		return this.request.awaitPlacement().apply(() -> sink.cancelled() || deadlinePassed() || sink.stopping());
 	}
 
 	private String token(Pipeline pipeline, List<HopRecorder> recorders, int position, List<String> inputs) {
@@ -230,13 +236,13 @@
 
 	private List<String> step(Upstream stage, Step step, HopRecorder recorder) {
 		long startMs = this.ticker.nowMs();
-		long timeoutMs = Math.max(1, Math.min(stepLimitMs(stage, step), this.request.deadlineMs() - startMs));
+		long timeoutMs = Math.max(1, Math.min(stepTimeoutMs(stage, step), this.request.deadlineMs() - startMs));
 		this.ledger.open(step);
 		StepResult result = this.engines.step(stage.address(), step, timeoutMs);
 		long tookMs = this.ticker.nowMs() - startMs;
 		switch (result) {
 			case StepResult.Done done -> {
-				this.touched.add(stage);
+				this.contacted.add(stage);
 				if (this.ledger.accept(done)) {
 					this.table.load(stage.id()).succeeded(tookMs);
 					recorder.ran(tookMs);
@@ -246,15 +252,15 @@
 			}
 			case StepResult.NotSent notSent -> fail(stage, recorder, tookMs, "not sent: " + notSent.reason());
 			case StepResult.Refused refused -> {
-				this.touched.add(stage);
+				this.contacted.add(stage);
 				fail(stage, recorder, tookMs, "refused: " + refused.reason());
 			}
 			case StepResult.Failed failed -> {
-				this.touched.add(stage);
-				if (failed.silent() && late()) {
-					// The draft's own deadline came before the engine's time was up.
-					// Held against the engine, late drafts would take healthy ones out
-					// of service just when there is too much work.
+				this.contacted.add(stage);
+				if (failed.silent() && deadlinePassed()) {
+					// The draft's own deadline passed before the engine's timeout.
+					// Counted as a failure of the engine, late drafts would take healthy
+					// engines out of service under overload.
 					recorder.failed(tookMs, "the deadline came first");
 				}
 				else {
@@ -265,20 +271,20 @@
 		return null;
 	}
 
-	private boolean late() {
+	private boolean deadlinePassed() {
 		return this.ticker.nowMs() >= this.request.deadlineMs();
 	}
 
-	// A frozen engine shows as silence. Where its usual step time is known, a multiple of
-	// that tells silence from work much sooner than the configured limit; a prompt's step
-	// has no usual time.
-	private long stepLimitMs(Upstream stage, Step step) {
-		double usualMs = this.table.load(stage.id()).smoothedMs();
-		long limitMs = this.request.model().stepTimeoutMs();
-		if (step.position() == 0 || usualMs == 0) {
-			return limitMs;
+	// A frozen engine does not answer. If its typical step time is known, a multiple of
+	// it detects this much earlier than the configured timeout. The step of a prompt has
+	// no typical time.
+	private long stepTimeoutMs(Upstream stage, Step step) {
+		double typicalMs = this.table.load(stage.id()).smoothedMs();
+		long configuredMs = this.request.model().stepTimeoutMs();
+		if (step.position() == 0 || typicalMs == 0) {
+			return configuredMs;
 		}
-		return Math.min(limitMs, Math.max(LEAST_STEP_LIMIT_MS, (long) (usualMs * USUAL_TIMES)));
+		return Math.min(configuredMs, Math.max(MIN_STEP_TIMEOUT_MS, (long) (typicalMs * STEP_TIMEOUT_FACTOR)));
 	}
 
 	private void fail(Upstream stage, HopRecorder recorder, long tookMs, String reason) {
@@ -289,41 +295,41 @@
 
 	private Outcome refuse(Choice choice) {
 		return switch (choice) {
-			case Choice.NonePermitted none -> givenUp(Code.PLACE_NOT_PERMITTED,
+			case Choice.NonePermitted none -> unsuccessful(Code.PLACE_NOT_PERMITTED,
 					"No place permitted for team '" + this.placement.team().name() + "' holds " + none.what() + ".");
 			case Choice.NoneAlive none ->
-				givenUp(Code.NO_UPSTREAM, "No permitted upstream holds " + none.what() + " now.");
+				unsuccessful(Code.NO_UPSTREAM, "No permitted upstream holds " + none.what() + " now.");
 			case Choice.Chosen chosen -> throw new IllegalStateException("chosen: " + chosen);
 		};
 	}
 
-	private Outcome givenUp(Code code, String sentence) {
+	private Outcome unsuccessful(Code code, String sentence) {
 		Refusal refusal = (code == Code.PLACE_NOT_PERMITTED) ? Refusal.permanent(code, sentence)
 				: Refusal.temporary(code, sentence, RETRY_AFTER_S);
-		return this.touched.isEmpty() ? new Outcome.NotRun(refusal) : new Outcome.Unknown(refusal);
+		return this.contacted.isEmpty() ? new Outcome.NotRun(refusal) : new Outcome.Unknown(refusal);
 	}
 
 	private void cleanUp() {
-		for (Upstream stage : this.touched) {
+		for (Upstream stage : this.contacted) {
 			Thread.startVirtualThread(() -> this.engines.cancel(stage.address(), this.request.id()));
 		}
 	}
 
 	private sealed interface AttemptEnd {
 
-		record Whole() implements AttemptEnd {
+		record Completed() implements AttemptEnd {
 		}
 
 		record CallerGone() implements AttemptEnd {
 		}
 
-		record TooLate() implements AttemptEnd {
+		record DeadlinePassed() implements AttemptEnd {
 		}
 
 		record Stopping() implements AttemptEnd {
 		}
 
-		record RuleChanged() implements AttemptEnd {
+		record PlacementChanged() implements AttemptEnd {
 		}
 
 		record StageFailed() implements AttemptEnd {
--- a/whinjunction-core/src/main/java/io/whinjunction/session/HopRecorder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/HopRecorder.java
@@ -3,7 +3,7 @@
 import io.whinjunction.pipeline.Upstream;
 
 /**
- * Adds up what one stage did in one attempt. Confined to the session's thread.
+ * Accumulates what one stage did in one attempt. Confined to the session's thread.
  */
 final class HopRecorder {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/session/RetryBudget.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/RetryBudget.java
@@ -1,54 +1,57 @@
 package io.whinjunction.session;
 
 /**
- * Bounds retries to a part of the requests, whatever fails.
+ * Bounds retries to a ratio of the requests, whatever fails.
  * <p>
- * The failure it is there for: when everything fails at once each request would be tried
- * several times, and the retries alone would keep the overload up after its cause is
- * gone. What retries cost is earned before by requests and by tokens that came out well;
- * where nothing comes out any more, nothing is earned, and the reserve is all there is.
+ * Guards against retry storms: when everything fails at once, each request would be tried
+ * several times, and the retries alone would sustain the overload after its cause is
+ * gone. Retries are earned in advance by requests and by generated tokens. When no tokens
+ * are generated any more, only requests and the reserve allow retries.
  * <p>
- * Invariant: retries granted are at most {@code reserve + part * requests} plus
- * {@link #PER_TOKEN} for each token made. Safe for all threads.
+ * Invariant: the retries granted are at most {@code reserve + ratio * requests} plus
+ * {@link #RETRIES_PER_TOKEN} for each generated token. Thread-safe.
  */
 public final class RetryBudget {
 
-	/** A resumed draft costs one more prefill, so a hundred tokens pay for one. */
-	static final double PER_TOKEN = 0.01;
+	/**
+	 * Retries earned per token. A resumed draft costs one more prefill, so one hundred
+	 * tokens earn one retry.
+	 */
+	static final double RETRIES_PER_TOKEN = 0.01;
 
-	private final double part;
+	private final double ratio;
 
 	private final double reserve;
 
 	private double tokens;
 
 	/**
-	 * A budget.
-	 * @param part retries per request, for example 0.1
-	 * @param reserve retries that may be saved up
+	 * Creates a budget that starts with the full reserve.
+	 * @param ratio retries per request, for example 0.1
+	 * @param reserve the maximum number of retries that may accumulate
 	 */
-	public RetryBudget(double part, double reserve) {
-		this.part = part;
+	public RetryBudget(double ratio, double reserve) {
+		this.ratio = ratio;
 		this.reserve = reserve;
 		this.tokens = reserve;
 	}
 
 	/**
-	 * A request was begun.
+	 * Records the start of a request.
 	 */
 	public synchronized void recordRequest() {
-		earn(this.part);
+		earn(this.ratio);
 	}
 
 	/**
-	 * A token of a draft was made.
+	 * Records a generated token.
 	 */
 	public synchronized void recordToken() {
-		earn(PER_TOKEN);
+		earn(RETRIES_PER_TOKEN);
 	}
 
 	/**
-	 * Asks for one retry.
+	 * Takes one retry from the budget.
 	 * @return whether it is granted
 	 */
 	public synchronized boolean tryRetry() {
--- a/whinjunction-core/src/main/java/io/whinjunction/session/StepLedger.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/StepLedger.java
@@ -4,13 +4,13 @@
 import io.whinjunction.engine.EngineClient.StepResult;
 
 /**
- * Keeps that each layer runs exactly once, in order, for every token of a stream.
+ * Ensures that each layer runs exactly once, in order, for every token of a stream.
  * <p>
- * The failure it is there for: an answer that comes late, twice, from another attempt,
- * from other layers or from an engine that changed its version meanwhile. Taken for the
- * expected one, it would put a skipped, repeated or foreign layer into the draft without
- * any error. Checking every name of the step is enough, since an engine echoes what it
- * ran and a step has exactly one successor.
+ * Guards against answers that arrive late or twice, or that belong to another attempt, to
+ * other layers or to an engine whose generation has changed. Accepted as the expected
+ * answer, each would silently put a skipped, repeated or foreign layer into the draft.
+ * Comparing all identifying fields of the step is sufficient, since an engine echoes what
+ * it ran and a step has exactly one successor.
  * <p>
  * Invariant: at most one step is open; it is accepted once, and only by its own answer.
  * Confined to one thread.
@@ -29,18 +29,19 @@
 
 	/**
 	 * Opens the next step.
-	 * @param step the step; it has to begin at the layer where the last one ended
+	 * @param step the step; it must begin at the layer where the last one ended
 	 */
 	void open(Step step) {
 		if (this.open != null || step.range().first() != this.nextLayer) {
-			throw new IllegalStateException("step " + step.range() + " is not next; layer " + this.nextLayer + " is");
+			throw new IllegalStateException(
+					"cannot open step " + step.range() + ": expected layer " + this.nextLayer + " and no open step");
 		}
 		this.open = step;
 	}
 
 	/**
-	 * Takes an answer where it is the open step's own.
-	 * @param done what an engine says it ran
+	 * Accepts an answer if it belongs to the open step.
+	 * @param done what an engine reports to have run
 	 * @return whether it was accepted
 	 */
 	boolean accept(StepResult.Done done) {
@@ -54,7 +55,7 @@
 	}
 
 	/**
-	 * Gives the token up, so that a new attempt can begin at the first layer.
+	 * Abandons the current token, so that a new attempt can begin at the first layer.
 	 */
 	void abandon() {
 		this.open = null;
--- a/whinjunction-core/src/main/java/io/whinjunction/session/TokenSink.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/TokenSink.java
@@ -1,25 +1,26 @@
 package io.whinjunction.session;
 
 /**
- * Where a draft's tokens go. Called from one thread.
+ * Receives the tokens of a draft. Called from one thread.
  */
 public interface TokenSink {
 
 	/**
-	 * Takes the next token.
+	 * Receives the next token.
 	 * @param token the token
 	 */
 	void token(String token);
 
 	/**
-	 * Whether the caller has gone.
-	 * @return {@code true} once nobody reads any more
+	 * Returns whether the caller has disconnected.
+	 * @return {@code true} once no one reads the tokens any more
 	 */
 	boolean cancelled();
 
 	/**
-	 * Whether the process ends now, so that no further token can be made.
-	 * @return {@code true} once its time is up
+	 * Returns whether the process terminates now, so that no further token can be
+	 * generated.
+	 * @return {@code true} once the time allowed for stopping has passed
 	 */
 	default boolean stopping() {
 		return false;
--- a/whinjunction-core/src/main/java/io/whinjunction/session/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/session/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One draft, followed token by token over its stages.
+ * Execution of a draft, token by token across its stages.
  */
 package io.whinjunction.session;
--- a/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
@@ -12,10 +12,10 @@
  */
 class RetryBudgetTests {
 
-	// Every upstream fails. Each request asks for retries until it is told no. Without a
+	// Every upstream fails, and each request retries until the budget refuses. Without a
 	// budget the load on the upstreams would be a multiple of the callers' requests.
 	@Property(seed = "13")
-	void retriesStayWithinTheirPartOfTheRequestsWhenEverythingFails(
+	void retriesStayWithinTheirRatioOfTheRequestsWhenEverythingFails(
 			@ForAll @IntRange(min = 1, max = 5000) int requests) {
 		RetryBudget budget = new RetryBudget(0.1, 20);
 		int retries = 0;
@@ -28,11 +28,11 @@
 		assertThat(retries).isLessThanOrEqualTo((int) (20 + 0.1 * requests + 1));
 	}
 
-	// Regression: ten long drafts lost a stage, five times in a row; the budget knew only
-	// the few requests and not that all of them had gone on well in between, and cut two
-	// drafts off that another pipeline could have ended.
+	// Regression: ten long drafts lost a stage five times in a row. The budget counted
+	// only the few requests and not the progress between the failures, and refused to
+	// resume two drafts that another pipeline could have completed.
 	@Test
-	void progressEarnsRetriesSoThatLongDraftsSurviveOneFailureAfterTheOther() {
+	void progressEarnsRetriesSoThatLongDraftsSurviveRepeatedFailures() {
 		RetryBudget budget = new RetryBudget(0.1, 20);
 		for (int i = 0; i < 10; i++) {
 			budget.recordRequest();
@@ -48,7 +48,7 @@
 	}
 
 	@Test
-	void aLoneFailureIsRetried() {
+	void aSingleFailureIsRetried() {
 		RetryBudget budget = new RetryBudget(0.1, 20);
 		budget.recordRequest();
 		assertThat(budget.tryRetry()).isTrue();
--- a/whinjunction-core/src/test/java/io/whinjunction/session/StepLedgerTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/session/StepLedgerTests.java
@@ -54,7 +54,7 @@
 	}
 
 	@Property(seed = "11")
-	void onlyAnAnswerThatMatchesInEveryNameIsAccepted(@ForAll @IntRange(min = 0, max = 2) int attempt,
+	void onlyAnAnswerThatMatchesInEveryFieldIsAccepted(@ForAll @IntRange(min = 0, max = 2) int attempt,
 			@ForAll @IntRange(min = 0, max = 2) int position, @ForAll @IntRange(min = 0, max = 2) int generation,
 			@ForAll boolean upper, @ForAll boolean otherStream) {
 		StepLedger fresh = new StepLedger(8);
@@ -66,7 +66,7 @@
 	}
 
 	@Property(seed = "12")
-	void layersAreAcceptedInOrderWhateverAnswersComeBetween(
+	void layersAreAcceptedInOrderDespiteOutdatedAnswersInBetween(
 			@ForAll @Size(min = 1, max = 40) List<@IntRange(min = 0, max = 3) Integer> noise) {
 		StepLedger fresh = new StepLedger(8);
 		int position = 0;
