--- a/whinjunction-core/src/main/java/io/whinjunction/membership/Member.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/membership/Member.java
@@ -1,13 +1,13 @@
 package io.whinjunction.membership;
 
 /**
- * What is believed of one entry. Immutable.
+ * The state of one entry as another entry sees it. Immutable.
  *
  * @param id its name
  * @param address where peers reach it, {@code HOST:PORT}
  * @param failureDomain where it is
- * @param incarnation raised by the member itself to refute a rumour
- * @param status the belief
+ * @param incarnation incremented by the member itself to refute a false status
+ * @param status the status
  */
 public record Member(String id, String address, String failureDomain, long incarnation, Status status) {
 
@@ -16,9 +16,9 @@
 	}
 
 	/**
-	 * Whether this belief replaces another on the same member: the higher incarnation
-	 * wins, and within one incarnation the worse word.
-	 * @param other the other belief
+	 * Returns whether this state replaces another state of the same member: the higher
+	 * incarnation takes precedence, and within one incarnation the worse status.
+	 * @param other the other state
 	 * @return whether this one is newer
 	 */
 	boolean overrides(Member other) {
@@ -29,17 +29,17 @@
 	}
 
 	/**
-	 * The belief, from good to final.
+	 * The status of a member, from good to final.
 	 */
 	public enum Status {
 
-		/** It answers. */
+		/** The member answers. */
 		ALIVE,
-		/** It did not answer lately. */
+		/** The member did not answer recently. */
 		SUSPECT,
-		/** It did not answer for the suspicion time. */
+		/** The member did not answer during the suspicion time. */
 		DEAD,
-		/** It said that it goes. */
+		/** The member has announced that it leaves. */
 		LEAVING
 
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/membership/MembershipTable.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/membership/MembershipTable.java
@@ -8,22 +8,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which entries there are, as one of them believes.
+ * The entries of the fleet as one of them sees them.
  * <p>
- * Each member probes one other per period; beliefs travel with the probes, each a bounded
- * number of times, so that a member's traffic does not grow with the fleet. A member that
- * hears a rumour of its own end refutes it with a higher incarnation.
+ * Each member probes one other member per period. Updates are piggybacked on the probes,
+ * each a bounded number of times, so that the traffic of a member does not grow with the
+ * fleet. A member that receives a suspicion or report of its own death refutes it with a
+ * higher incarnation.
  * <p>
- * Invariant: this member itself is always alive in its own table, until it leaves. Safe
- * for all threads.
+ * Invariant: the local member is always alive in its own table until it leaves.
+ * Thread-safe.
  */
 public final class MembershipTable {
 
-	/** Each belief is passed on this often, times the logarithm of the fleet. */
+	/** Each update is passed on this many times the logarithm of the fleet size. */
 	private static final int TRANSMISSIONS_PER_LOG = 3;
 
-	/** How long an ended member still counts as one of the fleet. */
-	private static final long REMEMBER_MS = 3_600_000;
+	/**
+	 * How long a dead or departed member is retained; a dead one counts in the fleet
+	 * until then.
+	 */
+	private static final long RETENTION_MS = 3_600_000;
 
 	private final long suspicionMs;
 
@@ -32,9 +36,10 @@
 	private Member self;
 
 	/**
-	 * A table that holds only its owner.
-	 * @param self this member
-	 * @param suspicionMs how long a silent member stays a suspect, in milliseconds
+	 * Creates a table that contains only the local member.
+	 * @param self the local member
+	 * @param suspicionMs how long an unresponsive member remains a suspect, in
+	 * milliseconds
 	 */
 	public MembershipTable(Member self, long suspicionMs) {
 		this.self = self;
@@ -43,47 +48,48 @@
 	}
 
 	/**
-	 * This member.
-	 * @return its own newest belief on itself
+	 * Returns the local member.
+	 * @return its current state
 	 */
 	public synchronized Member self() {
 		return this.self;
 	}
 
 	/**
-	 * Takes beliefs from a peer.
-	 * @param beliefs what the peer believes
+	 * Merges updates from a peer.
+	 * @param updates the states that the peer has sent
 	 * @param nowMs the time
 	 */
-	public synchronized void merge(Collection<Member> beliefs, long nowMs) {
-		for (Member belief : beliefs) {
-			if (belief.id().equals(this.self.id())) {
-				refute(belief, nowMs);
+	public synchronized void merge(Collection<Member> updates, long nowMs) {
+		for (Member update : updates) {
+			if (update.id().equals(this.self.id())) {
+				refute(update, nowMs);
 			}
 			else {
-				take(belief, nowMs);
+				apply(update, nowMs);
 			}
 		}
 	}
 
 	/**
-	 * A member answered directly.
-	 * @param member what it says of itself
+	 * Records a direct exchange with a member.
+	 * @param member the state that it reports of itself
 	 * @param nowMs the time
 	 */
 	public synchronized void recordContact(Member member, long nowMs) {
 		Entry entry = this.entries.get(member.id());
 		if (entry == null || member.overrides(entry.member)) {
-			take(member, nowMs);
+			apply(member, nowMs);
 		}
 		else if (entry.member.status() == Member.Status.SUSPECT && entry.member.incarnation() == member.incarnation()) {
-			// Its own word; the rumour elsewhere dies when the member refutes it.
+			// The member has answered itself; suspicions elsewhere end when it refutes
+			// them.
 			this.entries.put(member.id(), new Entry(member, nowMs));
 		}
 	}
 
 	/**
-	 * A member did not answer a probe.
+	 * Records that a member did not answer a probe.
 	 * @param id the member
 	 * @param nowMs the time
 	 */
@@ -95,12 +101,13 @@
 	}
 
 	/**
-	 * Lets time pass: suspects die, the long dead are forgotten.
+	 * Declares suspects dead after the suspicion time and removes members whose retention
+	 * has ended.
 	 * @param nowMs the time
 	 */
 	public synchronized void tick(long nowMs) {
 		List<Entry> dead = new ArrayList<>();
-		this.entries.values().removeIf((entry) -> ended(entry.member) && nowMs - entry.sinceMs > REMEMBER_MS);
+		this.entries.values().removeIf((entry) -> isGone(entry.member) && nowMs - entry.sinceMs > RETENTION_MS);
 		for (Entry entry : this.entries.values()) {
 			if (entry.member.status() == Member.Status.SUSPECT && nowMs - entry.sinceMs > this.suspicionMs) {
 				dead.add(entry);
@@ -112,7 +119,7 @@
 	}
 
 	/**
-	 * This member goes on purpose.
+	 * Marks the local member as leaving.
 	 * @param nowMs the time
 	 */
 	public synchronized void leave(long nowMs) {
@@ -122,14 +129,14 @@
 	}
 
 	/**
-	 * The next member to probe, by chance.
-	 * @param random the source of chance
-	 * @return a member other than this one, suspects included, or {@code null}
+	 * Returns a random member to probe.
+	 * @param random the source of randomness
+	 * @return a member other than the local one, possibly a suspect, or {@code null}
 	 */
 	public synchronized Member probeTarget(RandomGenerator random) {
 		List<Member> targets = new ArrayList<>();
 		for (Entry entry : this.entries.values()) {
-			if (!ended(entry.member) && !entry.member.id().equals(this.self.id())) {
+			if (!isGone(entry.member) && !entry.member.id().equals(this.self.id())) {
 				targets.add(entry.member);
 			}
 		}
@@ -137,29 +144,30 @@
 	}
 
 	/**
-	 * Beliefs to pass on, the least told first; counts them as told.
-	 * @param most how many at the most
-	 * @return the beliefs
+	 * Returns updates to pass on, those with the fewest transmissions first, and counts
+	 * them as transmitted.
+	 * @param max the maximum number of updates
+	 * @return the updates
 	 */
-	public synchronized List<Member> changes(int most) {
+	public synchronized List<Member> changes(int max) {
 		int limit = TRANSMISSIONS_PER_LOG * (32 - Integer.numberOfLeadingZeros(this.entries.size()));
-		List<Entry> untold = new ArrayList<>();
+		List<Entry> pending = new ArrayList<>();
 		for (Entry entry : this.entries.values()) {
-			if (entry.told < limit) {
-				untold.add(entry);
+			if (entry.transmissions < limit) {
+				pending.add(entry);
 			}
 		}
-		untold.sort((left, right) -> Integer.compare(left.told, right.told));
+		pending.sort((left, right) -> Integer.compare(left.transmissions, right.transmissions));
 		List<Member> changes = new ArrayList<>();
-		for (Entry entry : untold.subList(0, Math.min(most, untold.size()))) {
-			entry.told++;
+		for (Entry entry : pending.subList(0, Math.min(max, pending.size()))) {
+			entry.transmissions++;
 			changes.add(entry.member);
 		}
 		return changes;
 	}
 
 	/**
-	 * Everything believed.
+	 * Returns all members, whatever their status.
 	 * @return all members
 	 */
 	public synchronized List<Member> members() {
@@ -167,7 +175,7 @@
 	}
 
 	/**
-	 * The members that are taken for alive, this one included.
+	 * Returns the members that are considered alive, including the local one.
 	 * @return alive members and suspects
 	 */
 	public synchronized List<Member> alive() {
@@ -177,41 +185,41 @@
 	}
 
 	/**
-	 * Whether more than half of the fleet answers. Members that left on purpose do not
-	 * count; those that died within the last hour do.
-	 * @return whether this side of a cut may be taken for the larger one
+	 * Returns whether more than half of the fleet is alive. Members that left by
+	 * intention are not counted; those that died within the last hour are.
+	 * @return whether this side of a network partition may be considered the larger one
 	 */
 	public synchronized boolean majorityAlive() {
 		int alive = 0;
-		int known = 0;
+		int counted = 0;
 		for (Entry entry : this.entries.values()) {
 			if (entry.member.status() != Member.Status.LEAVING) {
-				known++;
+				counted++;
 			}
 			if (entry.member.status() == Member.Status.ALIVE) {
 				alive++;
 			}
 		}
-		return alive * 2 > known;
+		return alive * 2 > counted;
 	}
 
-	private void take(Member belief, long nowMs) {
-		Entry entry = this.entries.get(belief.id());
-		if (entry == null || belief.overrides(entry.member)) {
-			this.entries.put(belief.id(), new Entry(belief, nowMs));
+	private void apply(Member update, long nowMs) {
+		Entry entry = this.entries.get(update.id());
+		if (entry == null || update.overrides(entry.member)) {
+			this.entries.put(update.id(), new Entry(update, nowMs));
 		}
 	}
 
-	private void refute(Member belief, long nowMs) {
-		boolean rumour = belief.status() != Member.Status.ALIVE && belief.incarnation() >= this.self.incarnation();
-		if (rumour && this.self.status() == Member.Status.ALIVE) {
+	private void refute(Member update, long nowMs) {
+		boolean refutable = update.status() != Member.Status.ALIVE && update.incarnation() >= this.self.incarnation();
+		if (refutable && this.self.status() == Member.Status.ALIVE) {
 			this.self = new Member(this.self.id(), this.self.address(), this.self.failureDomain(),
-					belief.incarnation() + 1, Member.Status.ALIVE);
+					update.incarnation() + 1, Member.Status.ALIVE);
 			this.entries.put(this.self.id(), new Entry(this.self, nowMs));
 		}
 	}
 
-	private static boolean ended(Member member) {
+	private static boolean isGone(Member member) {
 		return member.status() == Member.Status.DEAD || member.status() == Member.Status.LEAVING;
 	}
 
@@ -221,7 +229,7 @@
 
 		private final long sinceMs;
 
-		private int told;
+		private int transmissions;
 
 		Entry(Member member, long sinceMs) {
 			this.member = member;
--- a/whinjunction-core/src/main/java/io/whinjunction/membership/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which entries there are, by probes and gossip of bounded size.
+ * Membership of the entries, maintained by probes and gossip of bounded size.
  */
 package io.whinjunction.membership;
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerMessages.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerMessages.java
@@ -9,7 +9,7 @@
 import io.whinjunction.protocol.generated.MemberStatus;
 
 /**
- * Turns members into the protocol's messages and back. Stateless.
+ * Converts members to messages of the protocol and back. Stateless.
  */
 final class PeerMessages {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
@@ -29,20 +29,20 @@
 import org.apache.thrift.TException;
 
 /**
- * What one entry tells others and learns from them: members, the configuration's
- * revision, upstreams that leave, and shares of limits.
+ * Exchanges state with other entries: members, the configuration's revision, leaving
+ * upstreams, and shares of limits.
  * <p>
- * Invariant: every message carries the revision, and whoever meets a newer one fetches it
- * before it counts the exchange. Safe for all threads.
+ * Invariant: every digest carries the revision, and an entry that receives a newer one
+ * fetches the configuration before it counts the exchange as a confirmation. Thread-safe.
  */
 public final class PeerNode implements Peer.Iface {
 
-	/** Bounds a digest whatever the fleet's size. */
-	private static final int MOST_CHANGES = 16;
+	/** Bounds the size of a digest regardless of the size of the fleet. */
+	private static final int MAX_CHANGES = 16;
 
-	private static final int MOST_LEAVING = 64;
+	private static final int MAX_LEAVING = 64;
 
-	private static final long LENT_MS = 3000;
+	private static final long LOAN_MS = 3000;
 
 	private final MembershipTable members;
 
@@ -63,11 +63,11 @@
 	private final RandomGenerator random;
 
 	/**
-	 * A node.
-	 * @param state what it tells of and learns into
-	 * @param transport how it reaches others
+	 * Creates a node.
+	 * @param state the state to exchange
+	 * @param transport the connections to peers
 	 * @param ticker the clock
-	 * @param random the source of chance
+	 * @param random the source of randomness
 	 */
 	public PeerNode(NodeState state, PeerTransport transport, Ticker ticker, RandomGenerator random) {
 		this.members = state.members();
@@ -81,7 +81,8 @@
 	}
 
 	/**
-	 * Exchanges with one member by chance, and with a seed where nobody is known.
+	 * Exchanges with a random member, and with a seed if no other member is known; with a
+	 * seed now and then also otherwise.
 	 * @param seeds addresses from the settings
 	 */
 	public void gossip(List<String> seeds) {
@@ -101,24 +102,24 @@
 	}
 
 	/**
-	 * Exchanges with one address.
-	 * @param address the peer
-	 * @throws TException where it did not answer
+	 * Exchanges digests with one peer.
+	 * @param address the address of the peer
+	 * @throws TException if it did not answer
 	 */
 	public void exchangeWith(String address) throws TException {
-		long askedAtMs = this.ticker.nowMs();
+		long requestedAtMs = this.ticker.nowMs();
 		Digest mine = digest();
 		Digest theirs = this.transport.call(address, (client) -> client.exchange(mine));
-		learn(theirs, address, askedAtMs);
+		applyDigest(theirs, address, requestedAtMs);
 	}
 
 	/**
-	 * Asks the owners of busy teams for a larger share.
+	 * Requests loans from the owners of the teams that need more than the base share.
 	 */
 	public void renewLoans() {
 		List<Member> alive = this.members.alive();
 		if (alive.isEmpty()) {
-			// This entry leaves and knows no other.
+			// This entry is leaving and has no other member.
 			return;
 		}
 		Map<String, Map<String, Double>> demandByOwner = new HashMap<>();
@@ -144,9 +145,9 @@
 		this.members.merge(PeerMessages.decode(digest.getChanges()), nowMs);
 		digest.getLeavingUpstreams().forEach(this.upstreams::markLeaving);
 		if (digest.getRevision() > this.configuration.configuration().revision()) {
-			// Asked for in its own time, so that this answer is not held up.
+			// Fetched in the background, so that this answer is not delayed.
 			String address = digest.getSender().getAddress();
-			Thread.startVirtualThread(() -> fetchQuietly(address));
+			Thread.startVirtualThread(() -> fetchInBackground(address));
 		}
 		return digest();
 	}
@@ -168,7 +169,7 @@
 
 	@Override
 	public long offerManifest(ManifestDocument message) {
-		take(message);
+		applyManifest(message);
 		return this.configuration.configuration().revision();
 	}
 
@@ -183,20 +184,20 @@
 						this.owner.lend(name, team.ratePerSecond(), demand.getMember(), wanted, this.ticker.nowMs()));
 			}
 		});
-		return new LimitGrant(LENT_MS, shares);
+		return new LimitGrant(LOAN_MS, shares);
 	}
 
 	private void borrow(Member from, Map<String, Double> demand) {
-		long askedAtMs = this.ticker.nowMs();
+		long requestedAtMs = this.ticker.nowMs();
 		LimitDemand message = new LimitDemand(this.members.self().id(), this.configuration.configuration().revision(),
 				demand);
 		try {
 			LimitGrant grant = from.id().equals(this.members.self().id()) ? lend(message)
 					: this.transport.call(from.address(), (client) -> client.lend(message));
-			grant.getSharePerSecond().forEach((team, share) -> this.limits.grantLoan(team, share, askedAtMs));
+			grant.getSharePerSecond().forEach((team, share) -> this.limits.grantLoan(team, share, requestedAtMs));
 		}
 		catch (TException ex) {
-			// The base share is kept; the next round asks the owner of that time.
+			// The base share remains; the next round contacts the owner at that time.
 			this.members.suspect(from.id(), this.ticker.nowMs());
 		}
 	}
@@ -215,38 +216,38 @@
 			this.members.merge(PeerMessages.decode(table.getMembers()), this.ticker.nowMs());
 		}
 		catch (TException ex) {
-			// Seeds may have been replaced; the next round asks another.
+			// Seeds may have been replaced; the next round may try another.
 		}
 	}
 
-	private void learn(Digest theirs, String address, long askedAtMs) throws TException {
+	private void applyDigest(Digest theirs, String address, long requestedAtMs) throws TException {
 		long nowMs = this.ticker.nowMs();
 		this.members.recordContact(PeerMessages.decode(theirs.getSender()), nowMs);
 		this.members.merge(PeerMessages.decode(theirs.getChanges()), nowMs);
 		theirs.getLeavingUpstreams().forEach(this.upstreams::markLeaving);
 		long held = this.configuration.configuration().revision();
 		if (theirs.getRevision() > held) {
-			take(this.transport.call(address, Peer.Client::manifest));
+			applyManifest(this.transport.call(address, Peer.Client::manifest));
 			held = this.configuration.configuration().revision();
 		}
 		if (theirs.getRevision() == held && theirs.getConfirmationAgeMs() >= 0) {
-			this.freshness.confirmed(askedAtMs - theirs.getConfirmationAgeMs());
+			this.freshness.confirmed(requestedAtMs - theirs.getConfirmationAgeMs());
 		}
 		if (theirs.getRevision() <= held) {
-			this.freshness.exchanged(askedAtMs, this.members.majorityAlive());
+			this.freshness.exchanged(requestedAtMs, this.members.majorityAlive());
 		}
 	}
 
-	private void fetchQuietly(String address) {
+	private void fetchInBackground(String address) {
 		try {
-			take(this.transport.call(address, Peer.Client::manifest));
+			applyManifest(this.transport.call(address, Peer.Client::manifest));
 		}
 		catch (TException ex) {
-			// The next exchange brings it.
+			// The next exchange retries the fetch.
 		}
 	}
 
-	private void take(ManifestDocument message) {
+	private void applyManifest(ManifestDocument message) {
 		Manifest manifest = Manifest.parse(new String(message.getDocument(), StandardCharsets.UTF_8));
 		if (manifest != null) {
 			this.configuration.offer(manifest);
@@ -254,15 +255,15 @@
 	}
 
 	private Digest digest() {
-		// By chance, so that all of a whole failure domain's are told in the end.
+		// Random, so that eventually all are sent when an entire failure domain leaves.
 		List<String> leaving = new ArrayList<>(this.upstreams.leavingIds());
 		Collections.shuffle(leaving, this.random);
 		return new Digest(PeerMessages.encode(this.members.self()), this.configuration.configuration().revision(),
-				this.freshness.ageMs(this.ticker.nowMs()), PeerMessages.encode(this.members.changes(MOST_CHANGES)),
-				leaving.subList(0, Math.min(MOST_LEAVING, leaving.size())));
+				this.freshness.ageMs(this.ticker.nowMs()), PeerMessages.encode(this.members.changes(MAX_CHANGES)),
+				leaving.subList(0, Math.min(MAX_LEAVING, leaving.size())));
 	}
 
-	// Rendezvous hashing: only the teams of a lost owner change hands.
+	// Rendezvous hashing: only the teams of a lost owner get a new owner.
 	private static Member ownerOf(String team, List<Member> alive) {
 		Member best = alive.get(0);
 		long highest = Long.MIN_VALUE;
@@ -277,13 +278,13 @@
 	}
 
 	/**
-	 * What a node tells of and learns into.
+	 * The state that a node exchanges with its peers.
 	 *
 	 * @param members the members
 	 * @param configuration the configuration
-	 * @param freshness the proofs of its revision
+	 * @param freshness the freshness of the configuration
 	 * @param upstreams the upstreams
-	 * @param limits this entry's part of the limits
+	 * @param limits this entry's shares of the limits
 	 */
 	public record NodeState(MembershipTable members, ConfigurationHolder configuration, Freshness freshness,
 			UpstreamTable upstreams, TeamLimits limits) {
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerServer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerServer.java
@@ -12,7 +12,7 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 
 /**
- * Answers other entries' calls, each on a virtual thread. Safe for all threads.
+ * Serves the calls of other entries, each on a virtual thread. Thread-safe.
  */
 public final class PeerServer implements AutoCloseable {
 
@@ -26,13 +26,13 @@
 	}
 
 	/**
-	 * Starts answering.
-	 * @param transport how to listen
+	 * Starts a server.
+	 * @param transport opens the listening socket
 	 * @param host the address to bind
 	 * @param port the port
-	 * @param node what answers
+	 * @param node handles the calls
 	 * @return the running server
-	 * @throws IllegalStateException where the port cannot be bound
+	 * @throws IllegalStateException if the port cannot be bound
 	 */
 	public static PeerServer start(PeerTransport transport, String host, int port, Peer.Iface node) {
 		try {
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerTransport.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerTransport.java
@@ -19,12 +19,12 @@
 import org.apache.thrift.transport.layered.TFramedTransport;
 
 /**
- * Opens connections between entries, with TLS on both sides where it is set up.
+ * Opens connections between entries, with mutual TLS if it is configured.
  * <p>
- * Every call takes a new connection. The failure it avoids: a kept connection that
- * something between the two ends has lost track of, on which every call would wait for
- * its timeout although a new connection works. Peer calls are few, so the handshakes cost
- * little. Safe for all threads.
+ * Every call uses a new connection. This avoids persistent connections that a device
+ * between the two ends has dropped silently, on which every call would wait for its
+ * timeout although a new connection works. Peer calls are rare, so the handshakes cost
+ * little. Thread-safe.
  */
 public final class PeerTransport {
 
@@ -35,9 +35,9 @@
 	private final int timeoutMs;
 
 	/**
-	 * A transport.
-	 * @param tls the current TLS context, or {@code null} for none
-	 * @param timeoutMs the limit of connecting and of each read, in milliseconds
+	 * Creates a transport.
+	 * @param tls supplies the current TLS context; {@code null} for plain connections
+	 * @param timeoutMs the timeout of connecting and of each read, in milliseconds
 	 */
 	public PeerTransport(Supplier<SSLContext> tls, int timeoutMs) {
 		this.tls = tls;
@@ -47,10 +47,10 @@
 	/**
 	 * Makes one call.
 	 * @param address the peer, {@code HOST:PORT}
-	 * @param call what to ask
-	 * @param <T> what it answers
+	 * @param call the call
+	 * @param <T> the type of the answer
 	 * @return the answer
-	 * @throws TException where the peer did not answer
+	 * @throws TException if the peer did not answer
 	 */
 	public <T> T call(String address, PeerCall<T> call) throws TException {
 		try (Socket socket = connect(address);
@@ -101,16 +101,16 @@
 	/**
 	 * A call to a peer.
 	 *
-	 * @param <T> what it answers
+	 * @param <T> the type of the answer
 	 */
 	@FunctionalInterface
 	public interface PeerCall<T> {
 
 		/**
 		 * Makes the call.
-		 * @param client the peer
+		 * @param client the client of the peer
 		 * @return its answer
-		 * @throws TException where it did not answer
+		 * @throws TException if it did not answer
 		 */
 		T run(Peer.Client client) throws TException;
 
--- a/whinjunction-core/src/main/java/io/whinjunction/peer/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The protocol between entries.
+ * Communication between entries.
  */
 package io.whinjunction.peer;
--- a/whinjunction-core/src/test/java/io/whinjunction/membership/MembershipTableTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/membership/MembershipTableTests.java
@@ -18,7 +18,7 @@
 
 	private static final long SUSPICION_MS = 3000;
 
-	private static final int MOST_CHANGES = 16;
+	private static final int MAX_CHANGES = 16;
 
 	@Test
 	void aSilentMemberIsSuspectedThenDead() {
@@ -30,20 +30,20 @@
 		assertThat(table.alive()).extracting(Member::id).containsExactly("a");
 	}
 
-	// One link is bad: a believes that b is gone and says so to c. Without a way to
-	// contradict, b would lose its shares everywhere although it serves.
+	// One link is broken: a considers b dead and reports that to c. Without a refutation,
+	// b would lose its shares everywhere although it serves requests.
 	@Test
-	void aMemberRefutesTheRumourOfItsEnd() {
+	void aMemberRefutesAReportOfItsDeath() {
 		MembershipTable b = table("b");
 		b.merge(List.of(member("b", 1, Member.Status.DEAD)), 0);
 		MembershipTable c = table("c");
 		c.merge(List.of(member("b", 1, Member.Status.DEAD)), 0);
-		c.merge(b.changes(MOST_CHANGES), 1);
+		c.merge(b.changes(MAX_CHANGES), 1);
 		assertThat(c.alive()).extracting(Member::id).contains("b");
 	}
 
 	@Test
-	void anOldBeliefDoesNotReplaceANewerOne() {
+	void anOlderIncarnationDoesNotReplaceANewerOne() {
 		MembershipTable table = table("a");
 		table.merge(List.of(member("b", 5, Member.Status.ALIVE)), 0);
 		table.merge(List.of(member("b", 4, Member.Status.DEAD)), 0);
@@ -60,7 +60,7 @@
 	}
 
 	@Property(seed = "31", tries = 20)
-	void everybodyLearnsOfEverybodyAndOfADeathWithBoundedMessages(@ForAll @IntRange(min = 5, max = 60) int size) {
+	void allMembersLearnOfEachOtherAndOfADeathWithBoundedMessages(@ForAll @IntRange(min = 5, max = 60) int size) {
 		Random random = new Random(size);
 		List<MembershipTable> tables = new ArrayList<>();
 		for (int i = 0; i < size; i++) {
@@ -98,12 +98,12 @@
 			return;
 		}
 		MembershipTable to = tables.get(index);
-		List<Member> told = from.changes(MOST_CHANGES);
-		assertThat(told).hasSizeLessThanOrEqualTo(MOST_CHANGES);
+		List<Member> changes = from.changes(MAX_CHANGES);
+		assertThat(changes).hasSizeLessThanOrEqualTo(MAX_CHANGES);
 		to.recordContact(from.self(), nowMs);
-		to.merge(told, nowMs);
+		to.merge(changes, nowMs);
 		from.recordContact(to.self(), nowMs);
-		from.merge(to.changes(MOST_CHANGES), nowMs);
+		from.merge(to.changes(MAX_CHANGES), nowMs);
 	}
 
 	private static MembershipTable table(String id) {
--- a/whinjunction-core/src/test/java/io/whinjunction/peer/PeerNodeTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/peer/PeerNodeTests.java
@@ -40,10 +40,10 @@
 			new Freshness(8000), this.upstreams, new TeamLimits()), new PeerTransport(null, 100), Ticker.system(),
 			new Random(1));
 
-	// The platform is down and this entry has not asked the engine yet; a peer has heard
-	// that it leaves. New work must stay away from it from then on.
+	// The platform is unavailable and this entry has not polled the engine yet, but a
+	// peer has received that it leaves. From then on it must get no new work.
 	@Test
-	void aPeersWordThatAnUpstreamLeavesCounts() throws TException {
+	void anUpstreamReportedAsLeavingByAPeerGetsNoNewWork() throws TException {
 		this.upstreams.replace(List.of(new Upstream("b-1", "booking", "h:1", "poa-a", null, 0, 0, 0, false)));
 		this.node.exchange(digest(List.of("b-1")));
 		assertThat(this.upstreams.holding("booking", null)).isEmpty();
@@ -56,18 +56,18 @@
 			this.members.merge(List.of(new Member("m" + i, "h:1", "d", 1, Member.Status.ALIVE)), 0);
 		}
 		Digest answer = this.node.exchange(digest(List.of()));
-		Set<String> told = new HashSet<>(answer.getLeavingUpstreams());
+		Set<String> sent = new HashSet<>(answer.getLeavingUpstreams());
 		for (int i = 0; i < 50; i++) {
-			told.addAll(this.node.exchange(digest(List.of())).getLeavingUpstreams());
+			sent.addAll(this.node.exchange(digest(List.of())).getLeavingUpstreams());
 		}
-		assertThat(told).hasSize(200);
+		assertThat(sent).hasSize(200);
 		assertThat(answer.getLeavingUpstreamsSize()).isEqualTo(64);
 		assertThat(answer.getChangesSize()).isEqualTo(16);
 		assertThat(answer.getConfirmationAgeMs()).isEqualTo(-1);
 	}
 
-	// Regression: the last entry of a fleet leaves. Nobody is left to own a team's limit;
-	// the loop that renews loans failed without a pause and filled the log.
+	// Regression: when the last entry of a fleet left, no entry remained to own a team's
+	// limit, and the loop that renews loans failed without a pause and filled the log.
 	@Test
 	void anEntryThatLeavesAloneRenewsNoLoans() {
 		this.configuration.offer(new Manifest(1, Json.MAPPER.readTree("""
