--- a/whinjunction-core/src/main/java/io/whinjunction/outcome/Outcome.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/outcome/Outcome.java
@@ -1,15 +1,15 @@
 package io.whinjunction.outcome;
 
 /**
- * What a caller may be told about its request. There is no fourth case.
+ * The outcome of a request as reported to its caller. There is no fourth case.
  * <p>
- * Invariant: {@link NotRun} is only ever built where it is certain that no upstream acted
- * on the request; every doubt is {@link Unknown}. Immutable, safe for all threads.
+ * Invariant: {@link NotRun} is created only if it is certain that no upstream acted on
+ * the request; every doubtful case is {@link Unknown}. Immutable, thread-safe.
  */
 public sealed interface Outcome {
 
 	/**
-	 * The word of this outcome in the {@code whin-outcome} response header.
+	 * Returns the value of the {@code whin-outcome} response header.
 	 * @return {@code answered}, {@code not-run} or {@code unknown}
 	 */
 	default String headerValue() {
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	 * The request ran and its whole answer reached this entry.
+	 * The request ran and its complete answer reached this entry.
 	 */
 	record Answered() implements Outcome {
 	}
@@ -29,7 +29,7 @@
 	/**
 	 * The request certainly did not run.
 	 *
-	 * @param refusal why, and when a retry makes sense
+	 * @param refusal the reason, and when to retry
 	 */
 	record NotRun(Refusal refusal) implements Outcome {
 	}
@@ -37,7 +37,7 @@
 	/**
 	 * The request may have run; the system never repeats it.
 	 *
-	 * @param refusal what is known, and when asking again makes sense
+	 * @param refusal the reason, and when to ask again
 	 */
 	record Unknown(Refusal refusal) implements Outcome {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/outcome/Refusal.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/outcome/Refusal.java
@@ -3,19 +3,20 @@
 import java.util.Locale;
 
 /**
- * Why a request has no answer, for a program and for a person. Immutable.
+ * The reason why a request has no answer, in machine-readable and human-readable form.
+ * Immutable.
  *
- * @param code a stable word for programs
- * @param sentence one sentence for a person, without the caller's data
+ * @param code a stable code for programs
+ * @param sentence one sentence for people, without data of the caller
  * @param status the HTTP status
- * @param retryAfterS when to come back, in seconds; 0 where a retry makes no sense
+ * @param retryAfterS when to retry, in seconds; 0 if a retry is pointless
  */
 public record Refusal(Code code, String sentence, int status, int retryAfterS) {
 
 	/**
-	 * A refusal that a retry of the same request cannot mend.
+	 * Creates a refusal that also a retry of the same request would get.
 	 * @param code the reason
-	 * @param sentence one sentence for a person
+	 * @param sentence one sentence for people
 	 * @return the refusal
 	 */
 	public static Refusal permanent(Code code, String sentence) {
@@ -23,10 +24,10 @@
 	}
 
 	/**
-	 * A refusal that may be gone after a while.
+	 * Creates a refusal for which a later retry may succeed.
 	 * @param code the reason
-	 * @param sentence one sentence for a person
-	 * @param retryAfterS when to come back, in seconds
+	 * @param sentence one sentence for people
+	 * @param retryAfterS when to retry, in seconds
 	 * @return the refusal
 	 */
 	public static Refusal temporary(Code code, String sentence, int retryAfterS) {
@@ -49,7 +50,7 @@
 		/** The idempotency key belongs to another body. */
 		IDEMPOTENCY_KEY_REUSED(422),
 		/**
-		 * The first request with this idempotency key is still running, or its fate is
+		 * The first request with this idempotency key is still running, or its outcome is
 		 * unknown.
 		 */
 		ACTION_IN_DOUBT(409),
@@ -57,7 +58,7 @@
 		TOO_LARGE(413),
 		/** The caller sent too slowly. */
 		TOO_SLOW(408),
-		/** The team's limit is used up. */
+		/** The team's rate limit is exhausted. */
 		TEAM_LIMIT(429),
 		/** More work is waiting than can be done in time. */
 		OVERLOADED(503),
@@ -65,13 +66,13 @@
 		DEADLINE(503),
 		/** No upstream can serve now. */
 		NO_UPSTREAM(503),
-		/** The platform's object API is needed and does not answer. */
+		/** The platform's object API is required and does not answer. */
 		PLATFORM_UNAVAILABLE(503),
-		/** This entry cannot tell whether its configuration is current. */
+		/** This entry cannot confirm that its configuration is current. */
 		CONFIGURATION_UNCONFIRMED(503),
 		/** This entry is stopping. */
 		STOPPING(503),
-		/** The upstream broke off. */
+		/** The upstream failed before its answer was complete. */
 		UPSTREAM_FAILED(502);
 
 		private final int status;
@@ -81,7 +82,7 @@
 		}
 
 		/**
-		 * The code as it stands in answers.
+		 * Returns the code as written in responses.
 		 * @return lower case with hyphens
 		 */
 		public String wireName() {
--- a/whinjunction-core/src/main/java/io/whinjunction/outcome/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/outcome/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What a caller may be told about its request.
+ * Outcomes of requests as reported to callers.
  */
 package io.whinjunction.outcome;
--- a/whinjunction-core/src/main/java/io/whinjunction/platform/HttpObjectStore.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/platform/HttpObjectStore.java
@@ -13,8 +13,8 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * The object API over HTTP: {@code GET}, {@code PUT} with {@code if-match},
- * {@code DELETE}, and a long-polling watch. Safe for all threads.
+ * Client of the object API over HTTP: {@code GET}, {@code PUT} and {@code DELETE} with
+ * {@code if-match}, and a long-polling watch. Thread-safe.
  */
 public final class HttpObjectStore implements ObjectStore {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/platform/ObjectStore.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/platform/ObjectStore.java
@@ -4,11 +4,11 @@
 
 /**
  * The platform's versioned object API. Calls block the calling (virtual) thread for at
- * most the client's timeout. Implementations are safe for all threads.
+ * most the client's timeout. Implementations are thread-safe.
  */
 public interface ObjectStore {
 
-	/** The version to give to {@link #write} where the object must not exist yet. */
+	/** The version to pass to {@link #write} if the object must not exist yet. */
 	long ABSENT = 0;
 
 	/**
@@ -19,11 +19,11 @@
 	Read read(String key);
 
 	/**
-	 * Writes one object where its version is still the expected one.
+	 * Writes one object if its version is still the expected one.
 	 * @param key its key
 	 * @param value at most a megabyte
 	 * @param expectedVersion the version to replace, or {@link #ABSENT}
-	 * @return what is known of the write
+	 * @return the result of the write
 	 */
 	Write write(String key, String value, long expectedVersion);
 
@@ -35,31 +35,31 @@
 	Listing list(String prefix);
 
 	/**
-	 * Removes an object where its version is still the expected one.
+	 * Removes an object if its version is still the expected one.
 	 * @param key its key
 	 * @param expectedVersion the version to remove
-	 * @return what is known of the removal
+	 * @return the result of the removal
 	 */
 	Write remove(String key, long expectedVersion);
 
 	/**
 	 * Waits until an object is newer than a version.
 	 * @param key its key
-	 * @param afterVersion the version already known
+	 * @param afterVersion the version that the caller already has
 	 * @param timeoutMs how long to wait, in milliseconds
-	 * @return the newer object, {@link Read.Absent} where nothing newer came, or that the
-	 * platform did not answer
+	 * @return the newer object, {@link Read.Absent} if there was none before the timeout,
+	 * or that the platform did not answer
 	 */
 	Read watch(String key, long afterVersion, long timeoutMs);
 
 	/**
-	 * Lists the instances of upstreams, lagging.
+	 * Lists the instances of upstreams. The list may lag behind.
 	 * @return the instances, or that the platform did not answer
 	 */
 	Instances instances();
 
 	/**
-	 * What a read found.
+	 * The result of a read.
 	 */
 	sealed interface Read {
 
@@ -73,7 +73,7 @@
 		}
 
 		/**
-		 * There is no such object, or none newer.
+		 * There is no such object, or no newer version of it.
 		 */
 		record Absent() implements Read {
 		}
@@ -89,12 +89,12 @@
 	}
 
 	/**
-	 * What is known of a write.
+	 * The result of a write or removal.
 	 */
 	sealed interface Write {
 
 		/**
-		 * It took effect.
+		 * The write took effect.
 		 *
 		 * @param version the new version
 		 */
@@ -102,13 +102,13 @@
 		}
 
 		/**
-		 * Another version stands there; nothing was written.
+		 * The object has another version; nothing was written.
 		 */
 		record Conflict() implements Write {
 		}
 
 		/**
-		 * It may have taken effect, at once or later.
+		 * The write may have taken effect or may still do so later.
 		 *
 		 * @param reason why, for the log
 		 */
@@ -118,7 +118,7 @@
 	}
 
 	/**
-	 * What a listing found.
+	 * The result of a listing.
 	 */
 	sealed interface Listing {
 
@@ -151,7 +151,7 @@
 	}
 
 	/**
-	 * What the instance list said.
+	 * The result of listing the instances.
 	 */
 	sealed interface Instances {
 
@@ -181,7 +181,7 @@
 	 * @param address {@code HOST:PORT}
 	 * @param failureDomain where it is
 	 * @param acceleratorKind its kind of accelerator; empty for a plain service
-	 * @param leaving whether it will go soon
+	 * @param leaving whether it will stop soon
 	 */
 	record Instance(String id, String service, String address, String failureDomain, String acceleratorKind,
 			boolean leaving) {
--- a/whinjunction-core/src/main/java/io/whinjunction/platform/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The platform's object API and instance list, behind a narrow interface.
+ * A narrow interface to the platform's object API and instance list.
  */
 package io.whinjunction.platform;
--- a/whinjunction-core/src/main/java/io/whinjunction/proof/ConfigurationProof.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/proof/ConfigurationProof.java
@@ -1,17 +1,17 @@
 package io.whinjunction.proof;
 
 /**
- * Tells whether this process may act on the keys of its configuration.
+ * Decides whether this process may act on the keys of its configuration.
  * <p>
- * The failure it is there for: a router that is cut off, suspended, or told nothing by a
- * silent watch goes on with a key that was taken away. A watch that says nothing proves
- * nothing; only a linearizable read does, and only for the moment at which it was sent,
- * so that a reply which was long on its way doesn't look fresh. Times are of a clock that
- * counts suspensions; with one that doesn't, a machine woken after an hour would take an
- * old proof for new.
+ * Guards against a router that continues to accept a revoked key because it is
+ * partitioned or suspended, or because its watch delivers nothing. A silent watch proves
+ * nothing. Only a linearizable read is a proof, and only for the time at which it was
+ * sent, so that a delayed reply does not appear fresh. Times are taken from a clock that
+ * counts suspensions; with one that does not, a machine resumed after an hour would
+ * consider an old proof fresh.
  * <p>
- * Invariants: proof times only go up; the version that was proved never goes down. Not
- * safe for threads: confined to the event loop.
+ * Invariants: proof times only increase; the version that was proved never decreases. Not
+ * thread-safe: confined to the event loop.
  */
 public final class ConfigurationProof {
 
@@ -24,12 +24,13 @@
 	private long provedAtMs = NEVER;
 
 	/**
-	 * A proof with bounds.
-	 * @param keysBoundMs how old a proof may be for a key to be honoured, in
-	 * milliseconds; the time within which a key that was taken away must no longer work,
-	 * less what a request may take from the check to the upstream
-	 * @param denialBoundMs how old it may be for a request to be denied for good, in
-	 * milliseconds; the time within which an accepted configuration must be in force
+	 * Creates an instance without a proof.
+	 * @param keysBoundMs the maximum age of a proof for a key to be honoured, in
+	 * milliseconds: the time within which a revoked key must stop working, less the time
+	 * that a request may take from the check to the upstream
+	 * @param denialBoundMs the maximum age of a proof for a request to be denied
+	 * permanently, in milliseconds: the time within which an accepted configuration must
+	 * be in force
 	 */
 	public ConfigurationProof(long keysBoundMs, long denialBoundMs) {
 		this.keysBoundMs = keysBoundMs;
@@ -37,43 +38,44 @@
 	}
 
 	/**
-	 * How old a proof may be for a key to be honoured.
-	 * @return milliseconds
+	 * Returns the maximum age of a proof for a key to be honoured.
+	 * @return the age in milliseconds
 	 */
 	public long keysBoundMs() {
 		return this.keysBoundMs;
 	}
 
 	/**
-	 * The configuration in force was the newest.
-	 * @param askedAtMs when that was asked, on a clock that counts suspensions
+	 * Records that the configuration in force was the newest.
+	 * @param requestedAtMs when the read was sent, on a clock that counts suspensions
 	 */
-	public void recordProof(long askedAtMs) {
-		this.provedAtMs = Math.max(this.provedAtMs, askedAtMs);
+	public void recordProof(long requestedAtMs) {
+		this.provedAtMs = Math.max(this.provedAtMs, requestedAtMs);
 	}
 
 	/**
-	 * The age of the proof.
+	 * Returns the age of the last proof.
 	 * @param nowMs the time, on the same clock
-	 * @return milliseconds; a very large number where there was none
+	 * @return the age in milliseconds; a very large number if there was none
 	 */
 	public long ageMs(long nowMs) {
 		return nowMs - this.provedAtMs;
 	}
 
 	/**
-	 * Whether a key may be honoured.
+	 * Returns whether a key may be honoured.
 	 * @param nowMs the time, on the same clock
-	 * @return {@code false} where it may have been taken away too long ago
+	 * @return {@code false} if it may have been revoked too long ago
 	 */
 	public boolean honoursKeys(long nowMs) {
 		return ageMs(nowMs) < this.keysBoundMs;
 	}
 
 	/**
-	 * Whether a request may be denied for good because its route or key is not there.
+	 * Returns whether a request may be denied permanently because its route or key does
+	 * not exist.
 	 * @param nowMs the time, on the same clock
-	 * @return {@code false} where it may have been added meanwhile
+	 * @return {@code false} if it may have been added since
 	 */
 	public boolean allowsDenial(long nowMs) {
 		return ageMs(nowMs) < this.denialBoundMs;
--- a/whinjunction-core/src/main/java/io/whinjunction/proof/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/proof/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Proof that the configuration in force is the newest that operators have been told is
- * accepted.
+ * Proof that the configuration in force is the newest one whose acceptance was reported
+ * to operators.
  */
 package io.whinjunction.proof;
--- a/whinjunction-core/src/main/java/io/whinjunction/store/StoreVersion.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/store/StoreVersion.java
@@ -1,18 +1,18 @@
 package io.whinjunction.store;
 
 /**
- * A version of something that the platform's store holds. Immutable.
+ * The version of an item in the platform's store. Immutable.
  * <p>
- * A store that comes back from an older copy of itself gives its revisions out again, and
- * counts a new era. Two revisions can be compared only within one era; of two eras, the
- * later one is what the store holds.
+ * A store that is restored from an older copy assigns its revisions again and starts a
+ * new era. Revisions are comparable only within one era; of two eras, the later one is
+ * the state of the store.
  *
- * @param era how often the store has come back; 0 where it doesn't say
- * @param revision the store's revision, which goes up within an era
+ * @param era how often the store was restored; 0 if it does not report that
+ * @param revision the store's revision, which increases within an era
  */
 public record StoreVersion(long era, long revision) implements Comparable<StoreVersion> {
 
-	/** Before anything was read. */
+	/** The version before the first read. */
 	public static final StoreVersion NONE = new StoreVersion(0, 0);
 
 	@Override
@@ -22,8 +22,8 @@
 	}
 
 	/**
-	 * Whether this version is later than another one.
-	 * @param other the other one
+	 * Returns whether this version is later than another one.
+	 * @param other the other version
 	 * @return {@code true} also for any revision of a later era
 	 */
 	public boolean after(StoreVersion other) {
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Another revision of the same era.
+	 * Returns the version with another revision of the same era.
 	 * @param otherRevision the revision
 	 * @return the version
 	 */
--- a/whinjunction-core/src/main/java/io/whinjunction/store/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/store/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Versions of what the platform's store holds.
+ * Versions of the items in the platform's store.
  */
 package io.whinjunction.store;
--- a/whinjunction-core/src/main/java/io/whinjunction/time/BootClock.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/BootClock.java
@@ -1,15 +1,15 @@
 package io.whinjunction.time;
 
 /**
- * A clock that goes on while the machine is suspended and never jumps. The monotonic
- * clock of the runtime stands still meanwhile, and the time of day jumps when it is set.
- * Implementations are safe for all threads.
+ * A monotonic clock that includes the time during which the machine is suspended. The
+ * monotonic clock of the Java runtime stops during a suspension, and the time of day
+ * jumps when it is set. Implementations are thread-safe.
  */
 @FunctionalInterface
 public interface BootClock {
 
 	/**
-	 * Milliseconds since an arbitrary origin, suspensions included.
+	 * Returns the milliseconds since an arbitrary origin, including suspensions.
 	 * @return the time in milliseconds
 	 */
 	long nowMs();
--- a/whinjunction-core/src/main/java/io/whinjunction/time/Closer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/Closer.java
@@ -4,18 +4,18 @@
 import java.util.Deque;
 
 /**
- * Gathers resources and closes them in reverse order.
+ * Collects resources and closes them in reverse order.
  * <p>
  * Invariant: every registered resource is closed once, also when an earlier close fails;
- * the first failure is rethrown with the later ones suppressed. Safe for all threads.
+ * the first failure is rethrown with the later ones suppressed. Thread-safe.
  */
 public final class Closer implements AutoCloseable {
 
 	private final Deque<AutoCloseable> resources = new ArrayDeque<>();
 
 	/**
-	 * Takes a resource into ownership.
-	 * @param resource what to close later
+	 * Registers a resource to be closed.
+	 * @param resource the resource
 	 * @param <T> its type
 	 * @return the same resource
 	 */
--- a/whinjunction-core/src/main/java/io/whinjunction/time/PauseDetector.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/PauseDetector.java
@@ -1,59 +1,62 @@
 package io.whinjunction.time;
 
 /**
- * When this process ran, as it noted itself, to date a signal that it got late.
+ * Detects pauses of this process, to determine the earliest time at which a signal that
+ * was handled late may have arrived.
  * <p>
- * The failure it is there for: a signal that comes while the process is suspended or gets
- * no processor is handled seconds later, while the platform's grace goes on. Counted from
- * there, requests are served until the platform kills the process with all of them.
- * Nobody knows when the signal came, so it is dated to the last moment at which the
- * process is known to have run before. On waking, the overdue note may come before the
- * signal is handled; so the last gap is remembered for a while.
+ * Guards against a grace period that is counted too late: a signal that arrives while the
+ * process is suspended or gets no CPU time is handled seconds later, while the platform's
+ * grace period is running. Counted from the handling, requests would be served until the
+ * platform kills the process with all of them. The time of arrival is not known, so the
+ * signal is dated to the last time at which the process is known to have run before.
+ * After a pause the overdue activity record may precede the handling of the signal, so
+ * the last gap is remembered for a while.
  * <p>
- * Invariant: no signal is dated later than it was handled, also where another thread
- * noted a later moment before.
+ * Invariant: no signal is dated later than it was handled, even if another thread has
+ * already recorded a later activity.
  * <p>
- * All times are of one clock, the owner's; only a pause that this clock counts is seen: a
- * {@link BootClock} counts a suspended machine too, a {@link Ticker} a stopped process
- * only. Safe for all threads.
+ * All times are from one clock, chosen by the owner. Only pauses that this clock counts
+ * are detected: with a {@link BootClock} also a suspension of the machine, with a
+ * {@link Ticker} only that of the process. Thread-safe.
  */
 public final class PauseDetector {
 
 	private final long longestPauseMs;
 
-	private long notedMs;
+	private long lastActivityMs;
 
 	private long gapFromMs;
 
 	private long gapUntilMs = Long.MIN_VALUE / 2;
 
 	/**
-	 * The process was started.
+	 * Creates a detector when the process starts.
 	 * @param nowMs the time
-	 * @param longestPauseMs the longest pause between two notes of a process that runs,
-	 * in milliseconds
+	 * @param longestPauseMs the longest pause between two activity records of a running
+	 * process, in milliseconds
 	 */
 	public PauseDetector(long nowMs, long longestPauseMs) {
-		this.notedMs = nowMs;
+		this.lastActivityMs = nowMs;
 		this.longestPauseMs = longestPauseMs;
 	}
 
 	/**
-	 * The process runs.
+	 * Records that the process is running.
 	 * @param nowMs the time
 	 */
 	public synchronized void recordActivity(long nowMs) {
-		if (nowMs - this.notedMs > this.longestPauseMs) {
-			this.gapFromMs = this.notedMs;
+		if (nowMs - this.lastActivityMs > this.longestPauseMs) {
+			this.gapFromMs = this.lastActivityMs;
 			this.gapUntilMs = nowMs;
 		}
-		this.notedMs = nowMs;
+		this.lastActivityMs = nowMs;
 	}
 
 	/**
-	 * The earliest moment at which a signal may have come.
+	 * Returns the earliest time at which a signal may have arrived.
 	 * @param handledMs when it was handled
-	 * @return the last moment before a gap that ended just then, else when it was handled
+	 * @return the last activity before a gap that has just ended, otherwise
+	 * {@code handledMs}
 	 */
 	public synchronized long earliestArrivalMs(long handledMs) {
 		recordActivity(handledMs);
--- a/whinjunction-core/src/main/java/io/whinjunction/time/SystemTicker.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/SystemTicker.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The machine's monotonic clock. Stateless, safe for all threads.
+ * The machine's monotonic clock. Stateless, thread-safe.
  */
 final class SystemTicker implements Ticker {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/time/Ticker.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/Ticker.java
@@ -1,26 +1,26 @@
 package io.whinjunction.time;
 
 /**
- * A monotonic clock that decisions read instead of the machine's, so that tests drive
- * them with a virtual one. Implementations are safe for all threads.
+ * A monotonic clock that can be replaced by a virtual one in tests. Implementations are
+ * thread-safe.
  */
 public interface Ticker {
 
 	/**
-	 * Milliseconds since an arbitrary origin; never goes back.
+	 * Returns the milliseconds since an arbitrary origin; never decreases.
 	 * @return the time in milliseconds
 	 */
 	long nowMs();
 
 	/**
-	 * Waits.
+	 * Blocks the calling thread.
 	 * @param durationMs how long, in milliseconds
-	 * @throws InterruptedException where the thread is interrupted
+	 * @throws InterruptedException if the thread is interrupted
 	 */
 	void sleepMs(long durationMs) throws InterruptedException;
 
 	/**
-	 * The machine's clock.
+	 * Returns the machine's clock.
 	 * @return a ticker on {@link System#nanoTime()}
 	 */
 	static Ticker system() {
--- a/whinjunction-core/src/main/java/io/whinjunction/time/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/time/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Clocks that tests replace, and the ownership of resources.
+ * Clocks that tests can replace, and the management of resources.
  */
 package io.whinjunction.time;
--- a/whinjunction-core/src/test/java/io/whinjunction/proof/ConfigurationProofTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/proof/ConfigurationProofTests.java
@@ -5,21 +5,21 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Whether a router may act on its configuration.
+ * Tests for {@link ConfigurationProof}.
  */
 class ConfigurationProofTests {
 
 	private final ConfigurationProof proof = new ConfigurationProof(4400, 2000);
 
 	@Test
-	void withoutAProofNothingIsHonouredOrDenied() {
+	void withoutAProofNoKeyIsHonouredAndNoRequestIsDenied() {
 		assertThat(this.proof.honoursKeys(0)).isFalse();
 		assertThat(this.proof.allowsDenial(0)).isFalse();
 	}
 
-	// A key that was taken away an hour ago works: the machine was suspended, and the
-	// clock that does not count the suspension shows the proof as fresh. The clock handed
-	// in counts it, so the first look after it refuses.
+	// Guards against accepting a key that was revoked an hour ago while the machine was
+	// suspended. On a clock that does not count the suspension the proof would appear
+	// fresh. The clock in use counts it, so the first check after the suspension refuses.
 	@Test
 	void aProofIsOldAfterASuspension() {
 		this.proof.recordProof(1000);
@@ -28,10 +28,10 @@
 		assertThat(this.proof.honoursKeys(3_601_500)).isFalse();
 	}
 
-	// The reply to a read was five seconds on its way; what it says was true when it was
-	// asked for, not when it came.
+	// The reply to a read took five seconds. Its content was true when the read was sent,
+	// not when the reply arrived.
 	@Test
-	void aLateReplyProvesOnlyTheMomentOfItsQuestion() {
+	void aLateReplyProvesOnlyTheTimeOfItsRequest() {
 		this.proof.recordProof(1000);
 
 		assertThat(this.proof.honoursKeys(6000)).isFalse();
@@ -46,7 +46,7 @@
 	}
 
 	@Test
-	void aRequestIsDeniedForGoodOnlyWithAYoungerProofThanKeysNeed() {
+	void aPermanentDenialNeedsAYoungerProofThanAKey() {
 		this.proof.recordProof(0);
 
 		assertThat(this.proof.allowsDenial(1999)).isTrue();
