--- a/whinjunction-router/src/main/java/io/whinjunction/router/HopHeaders.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/HopByHopHeaders.java
@@ -7,25 +7,26 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Headers that concern one connection only and are never passed on. Stateless.
+ * Removes hop-by-hop headers: those that concern a single connection and are never
+ * forwarded. Stateless.
  */
-public final class HopHeaders {
+public final class HopByHopHeaders {
 
 	private static final List<CharSequence> NAMES = List.of(HttpHeaderNames.CONNECTION, "Keep-Alive",
 			HttpHeaderNames.PROXY_AUTHENTICATE, HttpHeaderNames.PROXY_AUTHORIZATION, "Proxy-Connection",
 			HttpHeaderNames.TE, HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE,
 			HttpHeaderNames.EXPECT);
 
-	private HopHeaders() {
+	private HopByHopHeaders() {
 	}
 
 	/**
-	 * Copies headers without those of one connection, also those that {@code Connection}
-	 * names.
+	 * Copies headers without the hop-by-hop ones, which include those that {@code
+	 * Connection} lists.
 	 * @param headers the headers
 	 * @return a new copy
 	 */
-	public static HttpHeaders withoutThem(HttpHeaders headers) {
+	public static HttpHeaders strip(HttpHeaders headers) {
 		HttpHeaders copy = new DefaultHttpHeaders(false);
 		copy.add(headers);
 		for (String listed : headers.getAll(HttpHeaderNames.CONNECTION)) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerConversation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerMessageHandler.java
@@ -7,10 +7,10 @@
 import io.whinjunction.store.StoreVersion;
 
 /**
- * This router's side of what routers say to each other: what it tells of itself, and who
- * hears of what others tell. Decides nothing. Confined to the event loop.
+ * Builds this router's own messages and dispatches those of peers to the components that
+ * process them. Makes no decisions of its own. Confined to the event loop.
  */
-final class PeerConversation implements PeerLink.Handler {
+final class PeerMessageHandler implements PeerLink.Handler {
 
 	private final RouterContext router;
 
@@ -20,34 +20,35 @@
 
 	private final DirectorySynchronizer directorySynchronizer;
 
-	private final LayerKeeper layerKeeper;
+	private final LayerReconciler layerReconciler;
 
 	private final Leadership leadership;
 
 	private final StoreEra era;
 
-	private final ToldLoad load;
+	private final ReportedLoad load;
 
 	/**
-	 * A side.
-	 * @param router the clocks, the directory and the other routers
+	 * Creates a handler.
+	 * @param router the clocks, the directory and the peers
 	 * @param settings this router's name and address
-	 * @param configurationSynchronizer knows the configuration in force
-	 * @param directorySynchronizer knows the list of upstreams
-	 * @param layerKeeper knows which engines are slow, while this router leads
-	 * @param leadership whether it does
+	 * @param configurationSynchronizer holds the configuration in force
+	 * @param directorySynchronizer holds the list of upstreams
+	 * @param layerReconciler tracks slow engines while this router leads
+	 * @param leadership whether this router leads
 	 * @param era the era of the store
 	 */
-	PeerConversation(RouterContext router, RouterSettings settings, ConfigurationSynchronizer configurationSynchronizer,
-			DirectorySynchronizer directorySynchronizer, LayerKeeper layerKeeper, Leadership leadership, StoreEra era) {
+	PeerMessageHandler(RouterContext router, RouterSettings settings,
+			ConfigurationSynchronizer configurationSynchronizer, DirectorySynchronizer directorySynchronizer,
+			LayerReconciler layerReconciler, Leadership leadership, StoreEra era) {
 		this.router = router;
 		this.settings = settings;
 		this.configurationSynchronizer = configurationSynchronizer;
 		this.directorySynchronizer = directorySynchronizer;
-		this.layerKeeper = layerKeeper;
+		this.layerReconciler = layerReconciler;
 		this.leadership = leadership;
 		this.era = era;
-		this.load = new ToldLoad(router.directory());
+		this.load = new ReportedLoad(router.directory());
 	}
 
 	@Override
@@ -57,21 +58,21 @@
 		long version = (this.router.configuration() != null) ? this.router.configuration().version() : -1;
 		return new PeerStatus(this.settings.name(), Addresses.text(this.settings.peers()),
 				this.settings.failureDomain(), sequence, answer, version,
-				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.watch().suspects(),
-				this.load.tokenLayers(nowMs), this.router.peers().toTell(nowMs), this.router.stopping(),
-				this.layerKeeper.paces(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
+				(ageMs < this.settings.bounds().keysMs()) ? ageMs : -1, this.router.engineMonitor().suspects(),
+				this.load.tokenLayers(nowMs), this.router.peers().advertisedAddresses(nowMs), this.router.stopping(),
+				this.layerReconciler.slowdowns(), this.leadership.holds(), this.router.peers().leaderAgeMs(nowMs),
 				this.directorySynchronizer.state(), this.era.current(), this.configurationSynchronizer.restoreAgeMs());
 	}
 
 	@Override
-	public void heard(PeerStatus status) {
+	public void onStatus(PeerStatus status) {
 		PeerTable peers = this.router.peers();
 		this.era.eraReceived(status.storeEra());
 		if (status.storeEra() == this.era.current()) {
 			this.configurationSynchronizer.peerRestoreReceived(status.storeReturnAgeMs());
 		}
-		peers.heard(status, this.router.nowMs());
-		status.suspects().forEach(this.router.watch()::hearsay);
+		peers.update(status, this.router.nowMs());
+		status.suspects().forEach(this.router.engineMonitor()::suspectReported);
 		this.configurationSynchronizer.peerVersionReceived(status.version(), peers.provedAtMs(status),
 				status.address());
 		this.directorySynchronizer.peerStateReceived(status.address(), status.list(), peers.listProvedAtMs(status));
@@ -83,32 +84,32 @@
 	}
 
 	@Override
-	public void told(UpstreamChanges changes) {
+	public void onChanges(UpstreamChanges changes) {
 		this.directorySynchronizer.peerChangesReceived(changes);
 	}
 
 	@Override
-	public List<PeerMessage> news() {
-		List<PeerMessage> news = new ArrayList<>();
-		List<CrashHistory> crashes = this.router.crashGuard().told();
+	public List<PeerMessage> pendingReports() {
+		List<PeerMessage> reports = new ArrayList<>();
+		List<CrashHistory> crashes = this.router.crashGuard().reported();
 		if (!crashes.isEmpty()) {
-			news.add(new PeerMessage.CrashReports(crashes));
+			reports.add(new PeerMessage.CrashReports(crashes));
 		}
-		List<NamedLimit> limits = this.router.limits().told();
+		List<ReportedLimit> limits = this.router.limits().limitsToReport();
 		if (!limits.isEmpty()) {
-			news.add(new PeerMessage.Limits(limits));
+			reports.add(new PeerMessage.Limits(limits));
 		}
-		return news;
+		return reports;
 	}
 
 	@Override
-	public void heard(PeerMessage.CrashReports reports) {
-		this.router.crashGuard().heard(reports.histories());
+	public void onCrashReports(PeerMessage.CrashReports reports) {
+		this.router.crashGuard().received(reports.histories());
 	}
 
 	@Override
-	public void heard(PeerMessage.Limits limits) {
-		this.router.limits().heard(limits.limits());
+	public void onLimits(PeerMessage.Limits limits) {
+		this.router.limits().received(limits.limits());
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-import io.whinjunction.chain.Crowding;
+import io.whinjunction.chain.Congestion;
 import io.whinjunction.chain.Engine;
 import io.whinjunction.chain.EngineKind;
 import io.whinjunction.chain.Hop;
@@ -19,10 +19,11 @@
 import io.whinjunction.routing.RoutedService;
 
 /**
- * Chooses where an attempt goes, from what the directory knows.
+ * Selects the target of an attempt from the directory of upstreams.
  * <p>
- * Invariant: what leaves, was tried before by the same request, or names a limit of which
- * this router's part is used up is not chosen to begin with. Confined to the event loop.
+ * Invariant: an attempt does not start at an upstream that is leaving, at which the same
+ * request failed before, or whose reported limit leaves no share to this router. Confined
+ * to the event loop.
  */
 final class TargetChooser {
 
@@ -32,118 +33,120 @@
 
 	private final UpstreamLimits limits;
 
-	private final Map<String, Double> paces;
+	private final Map<String, Double> slowdowns;
 
 	private final String failureDomain;
 
 	/**
-	 * A chooser.
+	 * Creates a chooser.
 	 * @param directory the upstreams
-	 * @param peers what other routers do and say
-	 * @param limits limits that upstreams name
-	 * @param paces how much slower than usual engines work, by name, as this router has
-	 * found itself; read at each choice
-	 * @param failureDomain where this router is
+	 * @param peers the reported load of peers
+	 * @param limits the limits that upstreams report
+	 * @param slowdowns how much slower than usual engines work, by incarnation, as
+	 * measured by this router; read at each choice
+	 * @param failureDomain the failure domain of this router
 	 */
-	TargetChooser(UpstreamDirectory directory, PeerTable peers, UpstreamLimits limits, Map<String, Double> paces,
+	TargetChooser(UpstreamDirectory directory, PeerTable peers, UpstreamLimits limits, Map<String, Double> slowdowns,
 			String failureDomain) {
 		this.limits = limits;
-		this.paces = paces;
+		this.slowdowns = slowdowns;
 		this.directory = directory;
 		this.peers = peers;
 		this.failureDomain = failureDomain;
 	}
 
 	/**
-	 * Chooses.
-	 * @param wish what is needed
+	 * Selects a target.
+	 * @param criteria the selection criteria
 	 * @param nowMs the time
-	 * @return the target, or empty where nothing can serve the request now
+	 * @return the target, or empty if no upstream can serve the request now
 	 */
-	Optional<Target> choose(Wish wish, long nowMs) {
-		if (wish.service().chained()) {
-			return chain(wish, nowMs);
+	Optional<Target> choose(Criteria criteria, long nowMs) {
+		if (criteria.service().chained()) {
+			return chain(criteria, nowMs);
 		}
-		return (wish.onlyFirst() != null) ? chooseAgain(wish.onlyFirst()) : single(wish, nowMs);
+		return (criteria.onlyFirst() != null) ? chooseTried(criteria.onlyFirst()) : single(criteria, nowMs);
 	}
 
-	private Optional<Target> chooseAgain(Set<String> tried) {
+	private Optional<Target> chooseTried(Set<String> tried) {
 		return tried.stream()
 			.map(this.directory::find)
-			.filter((state) -> state != null && !state.upstream().leaving() && takesMore(state))
+			.filter((state) -> state != null && !state.upstream().leaving() && withinLimit(state))
 			.min(Comparator.comparingInt(UpstreamState::requests))
 			.map((state) -> new Target(state.upstream(), List.of()));
 	}
 
-	private Optional<Target> single(Wish wish, long nowMs) {
-		Set<String> tried = wish.tried();
+	private Optional<Target> single(Criteria criteria, long nowMs) {
+		Set<String> tried = criteria.tried();
 		Comparator<UpstreamState> order = Comparator
 			.comparing((UpstreamState state) -> tried.contains(state.incarnation()))
 			.thenComparing((state) -> state.avoided(nowMs))
 			.thenComparingInt(UpstreamState::requests)
 			.thenComparing((state) -> !state.upstream().failureDomain().equals(this.failureDomain))
 			.thenComparing((state) -> state.incarnation());
-		return this.directory.active(wish.service().name())
+		return this.directory.active(criteria.service().name())
 			.stream()
-			.filter((state) -> !tried.contains(state.incarnation()) && takesMore(state))
+			.filter((state) -> !tried.contains(state.incarnation()) && withinLimit(state))
 			.min(order)
 			.map((state) -> new Target(state.upstream(), List.of()));
 	}
 
-	private Optional<Target> chain(Wish wish, long nowMs) {
-		Predicate<Engine> mayStart = (engine) -> (wish.onlyFirst() == null || wish.onlyFirst().contains(engine.id()))
-				&& this.limits.allows(engine.id());
+	private Optional<Target> chain(Criteria criteria, long nowMs) {
+		Predicate<Engine> mayStart = (
+				engine) -> (criteria.onlyFirst() == null || criteria.onlyFirst().contains(engine.id()))
+						&& this.limits.allows(engine.id());
 		return PathFinder
-			.find(wish.service().model(), candidates(wish, nowMs), PathFinder.Start.whole(this.failureDomain, mayStart))
+			.find(criteria.service().model(), candidates(criteria, nowMs),
+					PathFinder.Start.whole(this.failureDomain, mayStart))
 			.map(this::target);
 	}
 
 	/**
-	 * Chooses another path whose first hop stays.
-	 * @param wish what is needed
+	 * Selects another path with the same first hop.
+	 * @param criteria the selection criteria
 	 * @param first the first hop
 	 * @param nowMs the time
-	 * @return the whole path, or empty where there is none
+	 * @return the complete path, or empty if there is none
 	 */
-	Optional<List<Hop>> detour(Wish wish, Hop first, long nowMs) {
-		List<PathFinder.Candidate> others = candidates(wish, nowMs);
+	Optional<List<Hop>> detour(Criteria criteria, Hop first, long nowMs) {
+		List<PathFinder.Candidate> others = candidates(criteria, nowMs);
 		others.removeIf((candidate) -> candidate.engine().id().equals(first.engine().id()));
-		return PathFinder.find(wish.service().model(), others, PathFinder.Start.after(first)).map((rest) -> {
+		return PathFinder.find(criteria.service().model(), others, PathFinder.Start.after(first)).map((rest) -> {
 			List<Hop> path = new ArrayList<>(List.of(first));
 			path.addAll(rest);
 			return path;
 		});
 	}
 
-	private List<PathFinder.Candidate> candidates(Wish wish, long nowMs) {
-		ModelProfile profile = wish.service().model();
-		// All routers decide alone and much alike: what this one has just sent to an
-		// engine, the others have too, and prompts that all go the same way after a loss
-		// are read one after the other.
-		int routers = 1 + this.peers.heardLately(nowMs);
+	private List<PathFinder.Candidate> candidates(Criteria criteria, long nowMs) {
+		ModelProfile profile = criteria.service().model();
+		// All routers decide independently and much alike: what this router has just sent
+		// to an engine, its peers have sent there too. Without this factor prompts would
+		// all go to the same engine after a loss and be read one after the other.
+		int routers = 1 + this.peers.activeCount(nowMs);
 		List<PathFinder.Candidate> candidates = new ArrayList<>();
-		for (UpstreamState state : this.directory.active(wish.service().name())) {
+		for (UpstreamState state : this.directory.active(criteria.service().name())) {
 			EngineKind kind = profile.kinds().get(state.upstream().kind());
-			if (state.upstream().held() == null || kind == null || wish.tried().contains(state.incarnation())) {
+			if (state.upstream().held() == null || kind == null || criteria.tried().contains(state.incarnation())) {
 				continue;
 			}
-			double usedPart = usedPart(profile, kind, state, nowMs);
-			if (!wish.mustFit() || !full(profile, kind, state.upstream().held(), usedPart)) {
-				PathCosts.Load load = new PathCosts.Load(usedPart, (double) routers * state.unreadTokens(),
-						pace(state, nowMs), state.avoided(nowMs));
-				candidates.add(PathCosts.rate(profile, engine(state, kind), load, wish.tokens()));
+			double usedRatio = usedRatio(profile, kind, state, nowMs);
+			if (!criteria.mustFit() || !full(profile, kind, state.upstream().held(), usedRatio)) {
+				PathCosts.Load load = new PathCosts.Load(usedRatio, (double) routers * state.unreadTokens(),
+						slowdown(state, nowMs), state.avoided(nowMs));
+				candidates.add(PathCosts.rate(profile, engine(state, kind), load, criteria.tokens()));
 			}
 		}
 		return candidates;
 	}
 
-	private boolean takesMore(UpstreamState state) {
+	private boolean withinLimit(UpstreamState state) {
 		return this.limits.allows(state.incarnation());
 	}
 
-	private double pace(UpstreamState state, long nowMs) {
-		return Math.max(this.paces.getOrDefault(state.incarnation(), 1.0),
-				this.peers.paceOf(state.incarnation(), nowMs));
+	private double slowdown(UpstreamState state, long nowMs) {
+		return Math.max(this.slowdowns.getOrDefault(state.incarnation(), 1.0),
+				this.peers.slowdownOf(state.incarnation(), nowMs));
 	}
 
 	private static Engine engine(UpstreamState state, EngineKind kind) {
@@ -152,23 +155,23 @@
 				false);
 	}
 
-	private static boolean full(ModelProfile profile, EngineKind kind, LayerRange held, double usedPart) {
-		return Crowding.full(usedPart, profile.roomTokens(kind, held.end() - held.first()));
+	private static boolean full(ModelProfile profile, EngineKind kind, LayerRange held, double usedRatio) {
+		return Congestion.full(usedRatio, profile.kvCapacityTokens(kind, held.end() - held.first()));
 	}
 
 	/**
-	 * The part of an engine's room that requests of all routers take up.
+	 * Returns the ratio of an engine's capacity that the requests of all routers occupy.
 	 * @param profile the model
 	 * @param kind the engine's kind
 	 * @param state the engine, which holds layers
 	 * @param nowMs the time
-	 * @return 0 where it is free, 1 and more where it is full
+	 * @return 0 if the engine is free, 1 or more if it is full
 	 */
-	double usedPart(ModelProfile profile, EngineKind kind, UpstreamState state, long nowMs) {
+	double usedRatio(ModelProfile profile, EngineKind kind, UpstreamState state, long nowMs) {
 		LayerRange held = state.upstream().held();
-		double room = profile.roomTokenLayers(kind, held.end() - held.first());
+		double capacity = profile.kvCapacityTokenLayers(kind, held.end() - held.first());
 		double used = state.tokenLayers() + this.peers.tokenLayersAt(state.incarnation(), nowMs);
-		return used / Math.max(1, room);
+		return used / Math.max(1, capacity);
 	}
 
 	private Target target(List<Hop> path) {
@@ -177,16 +180,16 @@
 	}
 
 	/**
-	 * What an attempt needs. Immutable.
+	 * The selection criteria of an attempt. Immutable.
 	 *
 	 * @param service the service
-	 * @param tokens tokens that the request is expected to take up
-	 * @param tried names of upstreams that made the request fail
-	 * @param onlyFirst names of the upstreams that it may be sent to; {@code null} for
-	 * any
-	 * @param mustFit whether it is rather turned away than sent to an engine that is full
+	 * @param tokens tokens that the request is expected to occupy
+	 * @param tried incarnations of upstreams that made the request fail
+	 * @param onlyFirst incarnations of the upstreams that it may be sent to; {@code null}
+	 * for any
+	 * @param mustFit whether the request is rejected rather than sent to a full engine
 	 */
-	record Wish(RoutedService service, int tokens, Set<String> tried, Set<String> onlyFirst, boolean mustFit) {
+	record Criteria(RoutedService service, int tokens, Set<String> tried, Set<String> onlyFirst, boolean mustFit) {
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -16,7 +16,7 @@
  * A watch delivers changes at once but proves nothing while it is open, because it may
  * have been lost on a connection that went silent. A poll is answered immediately and
  * proves the list, for this router and for the peers that receive its proof.
- * {@link ListWatchRota} decides which routers watch and when each of them polls.
+ * {@link ListWatchRotation} decides which routers watch and when each of them polls.
  * <p>
  * Invariants: at most one list or poll and at most one watch are pending; each reply
  * counts as of the time of its request. Confined to the event loop.
@@ -63,7 +63,7 @@
 
 	private final long drainMs;
 
-	private final ListWatchRota rotation;
+	private final ListWatchRotation rotation;
 
 	private boolean requestPending;
 
@@ -95,7 +95,7 @@
 		this.leading = leading;
 		this.drainMs = drainMs;
 		this.random = random;
-		this.rotation = new ListWatchRota(drainMs, random);
+		this.rotation = new ListWatchRotation(drainMs, random);
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * @return {@code false} also if there are no others
 	 */
 	boolean readsEarly() {
-		return watching() && ListWatchRota.leavesFollowers(this.router.peers().sharers(this.router.nowMs()));
+		return watching() && ListWatchRotation.leavesFollowers(this.router.peers().routerCount(this.router.nowMs()));
 	}
 
 	/**
@@ -142,7 +142,7 @@
 
 	/** Requests the full list after a restore of the store, after a random delay. */
 	void relist() {
-		long routers = this.router.peers().sharers(this.router.nowMs());
+		long routers = this.router.peers().routerCount(this.router.nowMs());
 		long jitterMs = Math.min(RELIST_JITTER_MS_PER_ROUTER * routers,
 				(long) (MAX_RELIST_JITTER_RATIO * this.drainMs));
 		this.relisting = true;
@@ -156,7 +156,7 @@
 		if (this.leading.getAsBoolean() && !watching()) {
 			watch();
 		}
-		long pauseMs = this.rotation.pauseMs(this.holder.ageMs(), readsEarly());
+		long pauseMs = this.rotation.pollDelayMs(this.holder.ageMs(), readsEarly());
 		if (pauseMs > 0) {
 			schedule(pauseMs, this::pollIfDue);
 		}
@@ -196,7 +196,7 @@
 
 	private void retryPoll() {
 		if (!this.relisting) {
-			schedule(WatchRetryDelay.ms(this.router.peers().sharers(this.router.nowMs()), this.drainMs),
+			schedule(WatchRetryDelay.ms(this.router.peers().routerCount(this.router.nowMs()), this.drainMs),
 					this::pollIfDue);
 		}
 	}
@@ -206,7 +206,7 @@
 			return;
 		}
 		double others = this.router.peers().listWatchers(this.router.nowMs());
-		if (this.leading.getAsBoolean() || this.rotation.goesOn(others)) {
+		if (this.leading.getAsBoolean() || this.rotation.shouldWatch(others)) {
 			logger.atInfo().log("event=list-wait-begun others=%.1f version=%s", others, this.holder.version());
 			watch();
 		}
@@ -234,7 +234,7 @@
 
 	private void continueWatching(boolean changed) {
 		double others = this.router.peers().listWatchers(this.router.nowMs());
-		if (!this.leading.getAsBoolean() && !this.rotation.goesOn(others)) {
+		if (!this.leading.getAsBoolean() && !this.rotation.shouldWatch(others)) {
 			logger.atInfo().log("event=list-wait-left others=%.1f version=%s", others, this.holder.version());
 		}
 		else if (changed) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/StoreRollbackModelTests.java
@@ -269,7 +269,7 @@
 			this.list = new DirectorySynchronizer(context(), seen, new PeerRequests(), () -> this.leadership.holds(),
 					DRAIN_MS, StoreRollbackModelTests.this.random);
 			this.era.onRestore(() -> {
-				this.leadership.storeReturned();
+				this.leadership.storeRestored();
 				this.configuration.storeRestored();
 				this.list.storeRestored();
 			});
@@ -324,7 +324,7 @@
 			if (other.era.current() == this.era.current()) {
 				this.configuration.peerRestoreReceived(other.configuration.restoreAgeMs());
 			}
-			this.peers.heard(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
+			this.peers.update(new PeerStatus("r", other.address, "x", 0, true, version, ageMs, List.of(), Map.of(),
 					List.of(), false, Map.of(), other.leadership.holds(), other.peers.leaderAgeMs(nowMs),
 					other.list.state(), other.era.current(), other.configuration.restoreAgeMs()), nowMs);
 			this.configuration.peerVersionReceived(version, provedAtMs, other.address);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Limits that upstreams name, kept by a fleet of routers in simulated time.
+ * Limits that upstreams report, enforced by a fleet of routers in simulated time.
  */
 class UpstreamLimitsTests {
 
@@ -32,16 +32,16 @@
 
 	private long nowMs = 1_000_000;
 
-	// All routers have as many requests as they like, after a time without any: each of
-	// them would send at once what it has saved up.
+	// All routers have an unlimited supply of requests after an idle time. Guards
+	// against routers that send at once what they saved up during the idle time.
 	@ParameterizedTest(name = "{0} routers, {1} a second")
 	@CsvSource({ "1, 4", "7, 4", "7, 0.5", "95, 0.5", "95, 3.7", "95, 20", "390, 4" })
 	void aFleetSendsNoMoreThanTheLimitAndUsesMostOfIt(int routers, double perSecond) {
 		List<UpstreamLimits> fleet = fleet(routers);
-		fleet.forEach((limits) -> limits.heard(UPSTREAM, head(200, perSecond)));
+		fleet.forEach((limits) -> limits.received(UPSTREAM, head(200, perSecond)));
 		fleet.forEach((limits) -> limits.allows(UPSTREAM));
 		this.nowMs += IDLE_MS;
-		hearEachOther();
+		exchangeStatus();
 		List<Long> sentAtMs = new ArrayList<>();
 		long fromMs = this.nowMs;
 		for (; this.nowMs < fromMs + 5 * WINDOW_MS; this.nowMs += STEP_MS) {
@@ -63,35 +63,34 @@
 	}
 
 	@Test
-	void anUpstreamThatNamesNoLimitTakesAll() {
+	void anUpstreamThatReportsNoLimitAcceptsAllRequests() {
 		UpstreamLimits limits = fleet(7).getFirst();
-		limits.heard(UPSTREAM, head(200, -1));
+		limits.received(UPSTREAM, head(200, -1));
 
 		assertThat(limits.allows(UPSTREAM)).isTrue();
-		assertThat(limits.told()).isEmpty();
+		assertThat(limits.limitsToReport()).isEmpty();
 	}
 
 	@Test
-	void aLimitHoldsUntilAnAnswerOfItsOwnWorkNamesNone() {
+	void aLimitAppliesUntilASuccessfulResponseReportsNone() {
 		UpstreamLimits limits = fleet(1).getFirst();
-		limits.heard(UPSTREAM, head(200, 0.5));
+		limits.received(UPSTREAM, head(200, 0.5));
 		use(limits);
 		this.nowMs++;
-		limits.heard(UPSTREAM, head(503, -1));
+		limits.received(UPSTREAM, head(503, -1));
 		assertThat(limits.allows(UPSTREAM)).isFalse();
 
-		limits.heard(UPSTREAM, head(200, -1));
+		limits.received(UPSTREAM, head(200, -1));
 
 		assertThat(limits.allows(UPSTREAM)).isTrue();
 	}
 
-	// An upstream that takes nothing is asked now and then, or nobody would hear when
-	// that
-	// ends.
+	// A request is sent now and then to an upstream that accepts none: otherwise no
+	// router would learn that its limit was raised.
 	@Test
-	void anUpstreamThatTakesNothingIsAskedNowAndThen() {
+	void anUpstreamThatAcceptsNothingIsTriedNowAndThen() {
 		UpstreamLimits limits = fleet(1).getFirst();
-		limits.heard(UPSTREAM, head(200, 0));
+		limits.received(UPSTREAM, head(200, 0));
 		use(limits);
 
 		assertThat(limits.allows(UPSTREAM)).isFalse();
@@ -100,49 +99,48 @@
 	}
 
 	@Test
-	void theWordOfAnotherRouterHoldsHereAndSoDoesItsEnd() {
+	void aLimitReportedByAPeerAppliesAndSoDoesItsRemoval() {
 		List<UpstreamLimits> fleet = fleet(2);
-		fleet.getFirst().heard(UPSTREAM, head(200, 0.5));
-		fleet.getLast().heard(fleet.getFirst().told());
+		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
+		fleet.getLast().received(fleet.getFirst().limitsToReport());
 		use(fleet.getLast());
 		assertThat(fleet.getLast().allows(UPSTREAM)).isFalse();
 		this.nowMs += 100;
 
-		fleet.getFirst().heard(UPSTREAM, head(200, -1));
-		fleet.getLast().heard(fleet.getFirst().told());
+		fleet.getFirst().received(UPSTREAM, head(200, -1));
+		fleet.getLast().received(fleet.getFirst().limitsToReport());
 
 		assertThat(fleet.getLast().allows(UPSTREAM)).isTrue();
 	}
 
-	// Routers tell each other what they heard: an old word that comes late must not undo
-	// a
-	// newer one.
+	// Routers report limits to each other: an old report that arrives late must not
+	// replace a newer one.
 	@Test
-	void anOlderWordChangesNothing() {
+	void anOlderReportChangesNothing() {
 		List<UpstreamLimits> fleet = fleet(2);
-		fleet.getFirst().heard(UPSTREAM, head(200, 0.5));
+		fleet.getFirst().received(UPSTREAM, head(200, 0.5));
 		this.nowMs += 100;
-		List<NamedLimit> old = fleet.getFirst().told();
+		List<ReportedLimit> old = fleet.getFirst().limitsToReport();
 		this.nowMs += 100;
-		fleet.getLast().heard(UPSTREAM, head(200, 0.7));
-		fleet.getLast().heard(UPSTREAM, head(200, -1));
+		fleet.getLast().received(UPSTREAM, head(200, 0.7));
+		fleet.getLast().received(UPSTREAM, head(200, -1));
 
-		fleet.getLast().heard(old);
+		fleet.getLast().received(old);
 
 		assertThat(fleet.getLast().count()).isZero();
 	}
 
 	@Test
-	void wordsOnUpstreamsThatAreGoneAreDropped() {
+	void limitsOfUpstreamsThatAreGoneAreDropped() {
 		UpstreamLimits limits = fleet(1).getFirst();
-		limits.heard("e-gone", head(200, 0.5));
-		limits.heard(List.of(new NamedLimit("e-unknown", 4, 0), new NamedLimit(UPSTREAM, 4, -1)));
+		limits.received("e-gone", head(200, 0.5));
+		limits.received(List.of(new ReportedLimit("e-unknown", 4, 0), new ReportedLimit(UPSTREAM, 4, -1)));
 		limits.sweep();
 
-		assertThat(limits.told()).isEmpty();
+		assertThat(limits.limitsToReport()).isEmpty();
 	}
 
-	// A router of a fleet that is no sender sends nothing, whatever it has saved up.
+	// A router that is not among the senders sends nothing, whatever it has saved up.
 	private void use(UpstreamLimits limits) {
 		this.nowMs += 1;
 		if (limits.allows(UPSTREAM)) {
@@ -160,15 +158,15 @@
 			this.addresses.add(address);
 			this.tables.add(new PeerTable(address, random));
 		});
-		hearEachOther();
+		exchangeStatus();
 		return this.tables.stream().map((peers) -> new UpstreamLimits(context(peers), random)).toList();
 	}
 
-	private void hearEachOther() {
+	private void exchangeStatus() {
 		for (String address : this.addresses) {
 			PeerStatus status = new PeerStatus("n", address, "a", 1, false, 4, 0, List.of(), Map.of(), List.of(), false,
 					Map.of(), false, -1, UpstreamListState.NONE, 0, -1);
-			this.tables.forEach((table) -> table.heard(status, this.nowMs));
+			this.tables.forEach((table) -> table.update(status, this.nowMs));
 		}
 	}
 
