--- a/whinjunction-core/src/main/java/io/whinjunction/order/PlacementPlanner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/order/PlacementPlanner.java
@@ -40,7 +40,7 @@
 				new ModelPlan(configuration, model, upstreams).addMoves(moves);
 			}
 		}
-		moves.sort(Comparator.comparingInt(Move::holdersNow));
+		moves.sort(Comparator.comparingInt(Move::currentHolders));
 		return moves.subList(0, Math.max(0, Math.min(moves.size(), maxLoading - loading)));
 	}
 
@@ -49,9 +49,9 @@
 	 *
 	 * @param upstream the upstream
 	 * @param range the layers it should hold
-	 * @param holdersNow how many upstreams hold them already
+	 * @param currentHolders how many upstreams hold them already
 	 */
-	public record Move(Upstream upstream, LayerRange range, int holdersNow) {
+	public record Move(Upstream upstream, LayerRange range, int currentHolders) {
 	}
 
 	private static final class ModelPlan {
