--- a/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/peer/PeerNode.java
@@ -81,8 +81,8 @@
 	}
 
 	/**
-	 * Exchanges with a random member, and with a seed if no other member is known; with a
-	 * seed now and then also otherwise.
+	 * Exchanges with a random member, and also with a seed if there is no other member
+	 * or, by chance, in one of eight calls.
 	 * @param seeds addresses from the settings
 	 */
 	public void gossip(List<String> seeds) {
