--- a/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/limit/TeamLimitsTests.java
@@ -45,8 +45,8 @@
 		}
 	}
 
-	// All callers of a team use one of eight entries. Its base share alone would be a
-	// sixteenth of the rate; the lent half raises it above that.
+	// All callers of a team use one of eight entries. With equal shares alone it would
+	// get an eighth of the rate; the lent half raises it above that.
 	@Test
 	void theLentHalfFollowsTheDemand() {
 		TeamLimits limits = new TeamLimits();
