--- a/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/session/RetryBudgetTests.java
@@ -12,15 +12,15 @@
  */
 class RetryBudgetTests {
 
-	// Every upstream fails. Each request asks for retries until it is told no. Without a
+	// Every upstream fails, and each request retries until the budget refuses. Without a
 	// budget the load on the upstreams would be a multiple of the callers' requests.
 	@Property(seed = "13")
-	void retriesStayWithinTheirPartOfTheRequestsWhenEverythingFails(
+	void retriesStayWithinTheirRatioOfTheRequestsWhenEverythingFails(
 			@ForAll @IntRange(min = 1, max = 5000) int requests) {
 		RetryBudget budget = new RetryBudget(0.1, 20);
 		int retries = 0;
 		for (int i = 0; i < requests; i++) {
-			budget.requested();
+			budget.recordRequest();
 			while (budget.tryRetry()) {
 				retries++;
 			}
@@ -28,18 +28,18 @@
 		assertThat(retries).isLessThanOrEqualTo((int) (20 + 0.1 * requests + 1));
 	}
 
-	// Regression: ten long drafts lost a stage, five times in a row; the budget knew only
-	// the few requests and not that all of them had gone on well in between, and cut two
-	// drafts off that another pipeline could have ended.
+	// Regression: ten long drafts lost a stage five times in a row. The budget counted
+	// only the few requests and not the progress between the failures, and refused to
+	// resume two drafts that another pipeline could have completed.
 	@Test
-	void progressEarnsRetriesSoThatLongDraftsSurviveOneFailureAfterTheOther() {
+	void progressEarnsRetriesSoThatLongDraftsSurviveRepeatedFailures() {
 		RetryBudget budget = new RetryBudget(0.1, 20);
 		for (int i = 0; i < 10; i++) {
-			budget.requested();
+			budget.recordRequest();
 		}
 		for (int failure = 0; failure < 10; failure++) {
 			for (int token = 0; token < 10 * 100; token++) {
-				budget.progressed();
+				budget.recordToken();
 			}
 			for (int draft = 0; draft < 10; draft++) {
 				assertThat(budget.tryRetry()).isTrue();
@@ -48,9 +48,9 @@
 	}
 
 	@Test
-	void aLoneFailureIsRetried() {
+	void aSingleFailureIsRetried() {
 		RetryBudget budget = new RetryBudget(0.1, 20);
-		budget.requested();
+		budget.recordRequest();
 		assertThat(budget.tryRetry()).isTrue();
 	}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 import io.whinjunction.once.ActionClaims;
-import io.whinjunction.once.ActionClaims.Claimed;
+import io.whinjunction.once.ActionClaims.ClaimResult;
 import io.whinjunction.once.ActionName;
 import io.whinjunction.once.StoredAnswer;
 import io.whinjunction.platform.ObjectStore;
@@ -52,8 +52,8 @@
 	@Test
 	void aClaimWhoseReplyWasLostIsRecognizedByItsEntry() {
 		this.store.fault(Fault.LOST_REPLY_ONCE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
 	// The write took effect, its reply was lost and the platform became unavailable: the
@@ -63,11 +63,11 @@
 	void anAbandonedUnsentClaimIsReclaimedByItsOwnEntryOnly() {
 		ActionClaims claims = claims("a");
 		this.store.fault(Fault.LOST_REPLY_THEN_OUTAGE);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.StoreDown.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreUnavailable.class);
 		this.store.fault(Fault.NONE);
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
 	@Test
@@ -76,16 +76,16 @@
 		this.store.fault(Fault.LOST_REPLY_THEN_OUTAGE);
 		claims.claim(ACTION, "h");
 		this.store.fault(Fault.NONE);
-		claims.sweepGivenUp();
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
+		claims.sweepAbandoned();
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
 	}
 
 	@Test
 	void aRepeatReturnsTheFirstAnswer() {
 		ActionClaims claims = claims("a");
-		Claimed.Mine mine = (Claimed.Mine) claims.claim(ACTION, "h");
-		assertThat(claims.answered(mine.claim(), ANSWER)).isTrue();
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(Claimed.Answered.class, (answered) -> {
+		ClaimResult.Acquired acquired = (ClaimResult.Acquired) claims.claim(ACTION, "h");
+		assertThat(claims.recordAnswer(acquired.claim(), ANSWER)).isTrue();
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(ClaimResult.Answered.class, (answered) -> {
 			assertThat(answered.answer().status()).isEqualTo(201);
 			assertThat(answered.answer().body()).containsExactly(1, 2);
 			assertThat(answered.answer().headers()).containsExactlyElementsOf(ANSWER.headers());
@@ -95,20 +95,20 @@
 	@Test
 	void aKeyUsedWithAnotherBodyIsRefused() {
 		claims("a").claim(ACTION, "h");
-		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(Claimed.OtherBody.class);
+		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(ClaimResult.BodyMismatch.class);
 	}
 
 	@Test
 	void withThePlatformDownNothingIsClaimed() {
 		this.store.fault(Fault.OUTAGE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(Claimed.StoreDown.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreUnavailable.class);
 	}
 
 	@Test
 	void teamsAndServicesDoNotShareKeys() {
 		claims("a").claim(ACTION, "h");
 		assertThat(claims("a").claim(new ActionName("other", "booking-api", "friday-20h"), "h"))
-			.isInstanceOf(Claimed.Mine.class);
+			.isInstanceOf(ClaimResult.Acquired.class);
 	}
 
 	private ActionClaims claims(String entry) {
@@ -148,18 +148,18 @@
 			int index = this.random.nextInt(this.entries.size());
 			ActionClaims claims = this.entries.get(index);
 			switch (claims.claim(ACTION, "h")) {
-				case Claimed.Mine mine -> send(index, claims, mine);
-				case Claimed.Answered ignored -> assertThat(this.runs).hasValue(1);
+				case ClaimResult.Acquired acquired -> send(index, claims, acquired);
+				case ClaimResult.Answered ignored -> assertThat(this.runs).hasValue(1);
 				default -> {
 				}
 			}
 		}
 
-		private void send(int index, ActionClaims claims, Claimed.Mine mine) {
+		private void send(int index, ActionClaims claims, ClaimResult.Acquired acquired) {
 			switch (this.random.nextInt(5)) {
 				case 0 -> crash(index);
 				case 1 -> {
-					claims.release(mine.claim());
+					claims.release(acquired.claim());
 				}
 				case 2 -> {
 					this.runs.incrementAndGet();
@@ -167,7 +167,7 @@
 				}
 				default -> {
 					this.runs.incrementAndGet();
-					claims.answered(mine.claim(), ANSWER);
+					claims.recordAnswer(acquired.claim(), ANSWER);
 				}
 			}
 		}
@@ -186,7 +186,7 @@
 					request();
 				}
 				else {
-					this.entries.get(this.random.nextInt(this.entries.size())).sweepGivenUp();
+					this.entries.get(this.random.nextInt(this.entries.size())).sweepAbandoned();
 				}
 				this.depth--;
 			}
