--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
@@ -8,7 +8,7 @@
  * Invariants: a request that may have run is only repeated if its route allows it; a
  * refusal is only chosen if no upstream can have run the request, in this attempt or an
  * earlier one; no request is sent to more upstreams than its route allows, for which
- * {@link #onlyTriedOnes} tells the caller when to choose among those already tried.
+ * {@link #onlyTriedUpstreams} tells the caller when to choose among those already tried.
  * Stateless.
  */
 public final class RetryPolicy {
@@ -65,7 +65,7 @@
 	 * @param upstreams the number of upstreams that the request was sent to
 	 * @return {@code true} if the route allows no further upstream
 	 */
-	public static boolean onlyTriedOnes(Route route, int upstreams) {
+	public static boolean onlyTriedUpstreams(Route route, int upstreams) {
 		return upstreams >= route.limits().maxAttempts();
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
@@ -70,8 +70,8 @@
 
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 2))
 			.isInstanceOf(RetryDecision.Retry.class);
-		assertThat(RetryPolicy.onlyTriedOnes(route, 2)).isTrue();
-		assertThat(RetryPolicy.onlyTriedOnes(route, 1)).isFalse();
+		assertThat(RetryPolicy.onlyTriedUpstreams(route, 2)).isTrue();
+		assertThat(RetryPolicy.onlyTriedUpstreams(route, 1)).isFalse();
 		assertThat(next(RequestKind.IDEMPOTENT, 2, new AttemptOutcome.NotRun("x"), 3))
 			.isInstanceOf(RetryDecision.Refuse.class);
 	}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -281,7 +281,7 @@
 
 	private Optional<Target> chooseTarget() {
 		Set<String> sentTo = this.history.sentTo();
-		boolean again = RetryPolicy.onlyTriedOnes(this.route, sentTo.size());
+		boolean again = RetryPolicy.onlyTriedUpstreams(this.route, sentTo.size());
 		TargetChooser.Criteria criteria = new TargetChooser.Criteria(this.service, expectedTokens(),
 				this.history.failedAt(), again ? sentTo : null, !this.answerBegun);
 		return this.router.chooser().choose(criteria, this.router.nowMs());
