--- a/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
@@ -292,7 +292,7 @@
 	 * @param nowMs the current time
 	 * @return their fingerprints
 	 */
-	public List<RequestFingerprint> refusedOnes(long nowMs) {
+	public List<RequestFingerprint> refusedFingerprints(long nowMs) {
 		return this.suspects.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().refused(nowMs))
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
@@ -96,7 +96,7 @@
 		if (this.callInProgress) {
 			return;
 		}
-		for (RequestFingerprint fingerprint : this.requests.refusedOnes(this.router.nowMs())) {
+		for (RequestFingerprint fingerprint : this.requests.refusedFingerprints(this.router.nowMs())) {
 			if (!this.stored.contains(fingerprint) && isWriter(fingerprint)) {
 				this.callInProgress = true;
 				this.store.recordCrashing(fingerprint.toString(), (reply) -> onReply(fingerprint, true, reply));
