--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
@@ -140,7 +140,7 @@
 			List<Engine> members = engines.stream()
 				.sorted(Comparator.comparingDouble((Engine engine) -> -engine.kind().memoryMb())
 					.thenComparing(Engine::id))
-				.limit(PathFinder.MOST_HOPS)
+				.limit(PathFinder.MAX_HOPS)
 				.toList();
 			double memoryMb = members.stream().mapToDouble((engine) -> engine.kind().memoryMb()).sum();
 			List<Placement> placements = new ArrayList<>();
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
@@ -120,7 +120,7 @@
 	}
 
 	private static int[] assignLayers(ModelProfile profile, List<EngineKind> members) {
-		if (members.size() > PathFinder.MOST_HOPS) {
+		if (members.size() > PathFinder.MAX_HOPS) {
 			return null;
 		}
 		int[] held = new int[members.size()];
@@ -197,7 +197,7 @@
 			List<Option> options = new ArrayList<>();
 			for (int replicas = 1; replicas <= maxReplicas(); replicas++) {
 				int step = Math.max(1, replicas / STEPS_PER_REPLICA);
-				int maxUsed = Math.min(this.sorted.size(), replicas * PathFinder.MOST_HOPS);
+				int maxUsed = Math.min(this.sorted.size(), replicas * PathFinder.MAX_HOPS);
 				for (int used = replicas; used <= maxUsed; used += step) {
 					double rate = rate(replicas, used);
 					if (rate > 0) {
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
@@ -30,7 +30,7 @@
 public final class PathFinder {
 
 	/** Maximum number of engines in a path; engines refuse longer ones. */
-	public static final int MOST_HOPS = 32;
+	public static final int MAX_HOPS = 32;
 
 	/** Cost of a hop inside a failure domain: both sides of a link of 0.1 ms each. */
 	private static final double HOP_MS = 0.2;
@@ -65,7 +65,7 @@
 		while (excluded.size() <= engines.size()) {
 			Search search = new Search(profile, engines, start, excluded);
 			List<Hop> hops = search.run();
-			if (hops == null || hops.size() > MOST_HOPS) {
+			if (hops == null || hops.size() > MAX_HOPS) {
 				return Optional.empty();
 			}
 			String excludedNext = engineBetweenSplitHops(hops);
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/PathFinderTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/PathFinderTests.java
@@ -115,7 +115,7 @@
 				next = hop.layers().end();
 			}
 			assertThat(next).isEqualTo(80);
-			assertThat(path).hasSizeLessThanOrEqualTo(PathFinder.MOST_HOPS);
+			assertThat(path).hasSizeLessThanOrEqualTo(PathFinder.MAX_HOPS);
 		});
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/QueryBudget.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/QueryBudget.java
@@ -18,7 +18,7 @@
 	/**
 	 * The maximum number of status queries in a burst: all engines of the longest path.
 	 */
-	static final int MAX_BURST = PathFinder.MOST_HOPS;
+	static final int MAX_BURST = PathFinder.MAX_HOPS;
 
 	/**
 	 * Status queries per second of all routers together: about two for each engine of a
