--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
@@ -73,7 +73,7 @@
 		public Optional<List<Hop>> path(List<Engine> engines, Map<String, PathCosts.Load> loads, String domain,
 				int tokens) {
 			List<PathFinder.Candidate> candidates = engines.stream()
-				.filter((engine) -> loads.get(engine.id()).usedPart() < 1)
+				.filter((engine) -> loads.get(engine.id()).usedRatio() < 1)
 				.map((engine) -> PathCosts.rate(this.model, engine, loads.get(engine.id()), tokens))
 				.toList();
 			return PathFinder.find(this.model, candidates, PathFinder.Start.whole(domain, (engine) -> true));
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
@@ -41,8 +41,8 @@
 	public static PathFinder.Candidate rate(ModelProfile profile, Engine engine, Load load, int tokens) {
 		int held = engine.heldLayers();
 		double capacityTokens = Math.max(1, profile.kvCapacityTokens(engine.kind(), held));
-		double concurrentRequests = load.usedPart() * capacityTokens / Math.max(1, profile.meanTokens());
-		double congestionMs = Congestion.costMs(load.usedPart() + tokens / capacityTokens);
+		double concurrentRequests = load.usedRatio() * capacityTokens / Math.max(1, profile.meanTokens());
+		double congestionMs = Congestion.costMs(load.usedRatio() + tokens / capacityTokens);
 		double penaltyMs = (load.avoided() ? AVOIDED_MS : 0) + SLOW_MS * (load.slowdown() - 1)
 				+ PREFILL_WEIGHT * profile.readMs(engine.kind(), held, load.pendingPromptTokens());
 		return new PathFinder.Candidate(engine,
@@ -53,13 +53,13 @@
 	/**
 	 * Last known load of an engine. Immutable.
 	 *
-	 * @param usedPart the ratio of its capacity that requests of all routers take; 1 or
+	 * @param usedRatio the ratio of its capacity that requests of all routers take; 1 or
 	 * more if it is full
 	 * @param pendingPromptTokens prompt tokens of all routers that are queued there
 	 * @param slowdown the duration of its steps as a multiple of the usual one
 	 * @param avoided whether it was recently found silent or failing
 	 */
-	public record Load(double usedPart, double pendingPromptTokens, double slowdown, boolean avoided) {
+	public record Load(double usedRatio, double pendingPromptTokens, double slowdown, boolean avoided) {
 	}
 
 }
