--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
@@ -76,7 +76,7 @@
 				.filter((engine) -> loads.get(engine.id()).usedRatio() < 1)
 				.map((engine) -> PathCosts.rate(this.model, engine, loads.get(engine.id()), tokens))
 				.toList();
-			return PathFinder.find(this.model, candidates, PathFinder.Start.whole(domain, (engine) -> true));
+			return PathFinder.find(this.model, candidates, PathFinder.Start.full(domain, (engine) -> true));
 		}
 
 	}
@@ -109,7 +109,7 @@
 			List<PathFinder.Candidate> candidates = engines.stream()
 				.map((engine) -> new PathFinder.Candidate(engine, this.model.layerStepMs(engine.kind(), 0), 0))
 				.toList();
-			return PathFinder.find(this.model, candidates, PathFinder.Start.whole(domain, (engine) -> true));
+			return PathFinder.find(this.model, candidates, PathFinder.Start.full(domain, (engine) -> true));
 		}
 
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
@@ -54,7 +54,7 @@
 			.map((engine) -> new PathFinder.Candidate(engine,
 					ChainFleet.MIDDLING.model().layerStepMs(engine.kind(), 20), 0))
 			.toList();
-		PathFinder.Start start = PathFinder.Start.whole("d0", (engine) -> true);
+		PathFinder.Start start = PathFinder.Start.full("d0", (engine) -> true);
 		report.put("chain-path" + size, "us",
 				micros(() -> this.sink = PathFinder.find(ChainFleet.MIDDLING.model(), candidates, start)));
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
@@ -104,7 +104,7 @@
 		 * @param mayStart whether it may start at an engine
 		 * @return the start
 		 */
-		public static Start whole(String home, Predicate<Engine> mayStart) {
+		public static Start full(String home, Predicate<Engine> mayStart) {
 			return new Start(0, home, REMOTE_MS, mayStart);
 		}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/PathCostsTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/PathCostsTests.java
@@ -53,7 +53,7 @@
 						new PathCosts.Load(0.2, pending.getOrDefault(engine.id(), 0.0), 1, false), 991))
 				.toList();
 			List<Hop> path = PathFinder
-				.find(MixedCards.PROFILE, candidates, PathFinder.Start.whole("a", (engine) -> true))
+				.find(MixedCards.PROFILE, candidates, PathFinder.Start.full("a", (engine) -> true))
 				.orElseThrow();
 			path.forEach((hop) -> pending.merge(hop.engine().id(), 775.0, Double::sum));
 			byDomain.merge(path.getFirst().engine().failureDomain(), 1, Integer::sum);
--- a/whinjunction-core/src/test/java/io/whinjunction/chain/PathFinderTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/chain/PathFinderTests.java
@@ -83,7 +83,7 @@
 				MixedCards.holding("b1", "b", MixedCards.A100, 0, 80));
 
 		Optional<List<Hop>> path = PathFinder.find(PROFILE, engines,
-				PathFinder.Start.whole("a", (engine) -> engine.id().equals("b1")));
+				PathFinder.Start.full("a", (engine) -> engine.id().equals("b1")));
 
 		assertThat(ids(path)).containsExactly("b1");
 	}
@@ -120,7 +120,7 @@
 	}
 
 	private static Optional<List<Hop>> find(List<PathFinder.Candidate> engines, String home) {
-		return PathFinder.find(PROFILE, engines, PathFinder.Start.whole(home, (engine) -> true));
+		return PathFinder.find(PROFILE, engines, PathFinder.Start.full(home, (engine) -> true));
 	}
 
 	private static List<PathFinder.Candidate> candidates(Engine... engines) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/TargetChooser.java
@@ -97,7 +97,7 @@
 						&& this.limits.allows(engine.id());
 		return PathFinder
 			.find(criteria.service().model(), candidates(criteria, nowMs),
-					PathFinder.Start.whole(this.failureDomain, mayStart))
+					PathFinder.Start.full(this.failureDomain, mayStart))
 			.map(this::target);
 	}
 
