--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
@@ -63,7 +63,7 @@
 		double idleMs = layers * model.layerStepMs(engine.kind(), 0);
 		double tokenMs = layers * model.layerStepMs(engine.kind(), 1) - idleMs;
 		double workMs = model.meanAnswerTokens() * tokenMs
-				+ model.readMs(engine.kind(), layers, model.meanPromptTokens());
+				+ model.prefillMs(engine.kind(), layers, model.meanPromptTokens());
 		// A request holds its memory while all of its tokens pass at least this engine.
 		double heldMs = model.meanAnswerTokens() * (idleMs + tokenMs);
 		double room = model.kvCapacityTokens(engine.kind(), engine.heldLayers()) / (double) model.meanTokens();
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -350,7 +350,7 @@
 				layers = Math.max(layers, held);
 				passMs += held * (ChainEmulator.this.fleet.model().layerStepMs(this.engine.kind(), 1)
 						- ChainEmulator.this.fleet.model().layerStepMs(this.engine.kind(), 0));
-				passMs += ChainEmulator.this.fleet.model().readMs(this.engine.kind(), held, read(work));
+				passMs += ChainEmulator.this.fleet.model().prefillMs(this.engine.kind(), held, read(work));
 			}
 			passMs += layers * ChainEmulator.this.fleet.model().layerStepMs(this.engine.kind(), 0);
 			at(ChainEmulator.this.nowMs + passMs * this.pace, () -> finish(batch));
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ChainForecast.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ChainForecast.java
@@ -68,23 +68,23 @@
 		double tokensPerMs = requestsPerSecond * profile.meanAnswerTokens() / MS_PER_S;
 		double prefillPerMs = requestsPerSecond * profile.meanPromptTokens() / MS_PER_S;
 		double tokenMs = 0;
-		double readMs = 0;
+		double prefillMs = 0;
 		double maxUtilization = 0;
 		for (Stage stage : stages) {
 			double share = (double) stage.layers() / profile.layers();
 			double fixedMs = share * profile.stepMs() * stage.kind().stepFactor();
 			double perTokenMs = stage.layers()
 					* (profile.layerStepMs(stage.kind(), 1) - profile.layerStepMs(stage.kind(), 0));
-			double promptTokenMs = profile.readMs(stage.kind(), stage.layers(), 1);
+			double promptTokenMs = profile.prefillMs(stage.kind(), stage.layers(), 1);
 			double utilization = tokensPerMs * perTokenMs + prefillPerMs * promptTokenMs;
 			maxUtilization = Math.max(maxUtilization, utilization);
 			double passMs = (utilization < 1) ? fixedMs / (1 - utilization) : Double.POSITIVE_INFINITY;
 			double passing = Math.min(1, utilization + tokensPerMs * fixedMs);
 			tokenMs += passMs * (1 + passing / 2) + perTokenMs + HOP_MS;
-			readMs += profile.meanPromptTokens() * promptTokenMs / Math.max(0.01, 1 - utilization);
+			prefillMs += profile.meanPromptTokens() * promptTokenMs / Math.max(0.01, 1 - utilization);
 		}
-		double firstEventMs = readMs + profile.stepsPerPass() * tokenMs;
-		double heldMs = readMs + profile.meanAnswerTokens() * tokenMs;
+		double firstEventMs = prefillMs + profile.stepsPerPass() * tokenMs;
+		double heldMs = prefillMs + profile.meanAnswerTokens() * tokenMs;
 		return new ChainForecast(tokenMs, firstEventMs, requestsPerSecond * heldMs / MS_PER_S, maxUtilization);
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/ModelProfile.java
@@ -99,7 +99,7 @@
 	 * @param tokens the prompt tokens
 	 * @return milliseconds; 0 if the prompt rate of the model is not published
 	 */
-	public double readMs(EngineKind kind, int held, double tokens) {
+	public double prefillMs(EngineKind kind, int held, double tokens) {
 		if (this.prefillTokensPerSecond <= 0) {
 			return 0;
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathCosts.java
@@ -44,7 +44,7 @@
 		double concurrentRequests = load.usedRatio() * capacityTokens / Math.max(1, profile.meanTokens());
 		double congestionMs = Congestion.costMs(load.usedRatio() + tokens / capacityTokens);
 		double penaltyMs = (load.avoided() ? AVOIDED_MS : 0) + SLOW_MS * (load.slowdown() - 1)
-				+ PREFILL_WEIGHT * profile.readMs(engine.kind(), held, load.pendingPromptTokens());
+				+ PREFILL_WEIGHT * profile.prefillMs(engine.kind(), held, load.pendingPromptTokens());
 		return new PathFinder.Candidate(engine,
 				load.slowdown() * profile.layerStepMs(engine.kind(), concurrentRequests) + congestionMs / held,
 				penaltyMs);
