--- a/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
@@ -84,7 +84,7 @@
 	 * @return whether the stream waits for the engine
 	 */
 	static boolean shouldFailOver(Pause pause) {
-		return pause.quietMs() > Math.clamp(FAILOVER_GAPS * pause.usualGapMs(), MIN_FAILOVER_MS, MAX_FAILOVER_MS);
+		return pause.quietMs() > Math.clamp(FAILOVER_GAPS * pause.meanGapMs(), MIN_FAILOVER_MS, MAX_FAILOVER_MS);
 	}
 
 	/**
@@ -130,11 +130,11 @@
 	}
 
 	private static double aloneMs(Pause pause) {
-		return Math.clamp(ALONE_GAPS * pause.usualGapMs(), MIN_ALONE_MS, MAX_ALONE_MS);
+		return Math.clamp(ALONE_GAPS * pause.meanGapMs(), MIN_ALONE_MS, MAX_ALONE_MS);
 	}
 
 	private static double togetherMs(Pause pause) {
-		return Math.clamp(TOGETHER_GAPS * pause.usualGapMs(), MIN_TOGETHER_MS, MAX_TOGETHER_MS);
+		return Math.clamp(TOGETHER_GAPS * pause.meanGapMs(), MIN_TOGETHER_MS, MAX_TOGETHER_MS);
 	}
 
 	/**
@@ -154,11 +154,11 @@
 	 *
 	 * @param engineIds the engines of its path
 	 * @param begun whether the usual gap between its events is known
-	 * @param usualGapMs the mean time between its events; very large before the second
+	 * @param meanGapMs the mean time between its events; very large before the second
 	 * event
 	 * @param quietMs the time since its last event, or since it was sent
 	 */
-	record Pause(List<String> engineIds, boolean begun, double usualGapMs, long quietMs) {
+	record Pause(List<String> engineIds, boolean begun, double meanGapMs, long quietMs) {
 	}
 
 }
