--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -93,7 +93,7 @@
 
 	private final Ticker ticker;
 
-	private final PauseDetector runningTimes;
+	private final PauseDetector pauseDetector;
 
 	private final Closer closer = new Closer();
 
@@ -147,7 +147,7 @@
 		PeerNode node = new PeerNode(new PeerNode.NodeState(members, configuration, freshness, upstreams, limits),
 				transport, this.ticker, random);
 		this.closer.register(PeerServer.start(transport, settings.host(), settings.peerPort(), node));
-		this.runningTimes = new PauseDetector(ticker.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
+		this.pauseDetector = new PauseDetector(ticker.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
 		startLoops(new ConfigurationWatcher(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
 				new UpstreamPoller(store, engines, configuration, upstreams), node);
 		this.callers = this.closer.register(HttpServer.start(
@@ -190,7 +190,7 @@
 		// have been sent: whoever waits for the exit does not wait longer for a process
 		// that was suspended before the stop or during the notice.
 		long handledMs = this.ticker.nowMs();
-		long signalledMs = this.runningTimes.earliestArrivalMs(handledMs);
+		long signalledMs = this.pauseDetector.earliestArrivalMs(handledMs);
 		long rejectFromMs = signalledMs + this.settings.timing().noticeMs();
 		long exitDeadlineMs = rejectFromMs + this.settings.timing().drainMs();
 		logger.atInfo()
@@ -221,7 +221,7 @@
 
 	private void startLoops(ConfigurationWatcher configurationWatch, UpstreamPoller upstreamPoller, PeerNode node) {
 		startLoop("running", RUN_NOTE_INTERVAL_MS, () -> {
-			this.runningTimes.recordActivity(this.ticker.nowMs());
+			this.pauseDetector.recordActivity(this.ticker.nowMs());
 			return true;
 		});
 		startLoop("configuration", 0, configurationWatch::step);
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -134,7 +134,7 @@
 	/** {@code null} until the process is ordered to stop. */
 	private StopSchedule stop;
 
-	private final PauseDetector runningTimes;
+	private final PauseDetector pauseDetector;
 
 	/**
 	 * Creates a router.
@@ -152,7 +152,7 @@
 		this.dialect = ports.dialect();
 		this.metrics = ports.metrics();
 		this.boot = boot;
-		this.runningTimes = new PauseDetector(boot.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
+		this.pauseDetector = new PauseDetector(boot.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
 		this.proof = new ConfigurationProof(settings.bounds().keysMs() - KEY_MARGIN_MS,
 				settings.bounds().configurationMs());
 		this.peers = new PeerTable(Addresses.text(settings.peers()), this.random);
@@ -330,7 +330,7 @@
 				return;
 			}
 			long handledMs = bootMs() - (nowMs() - signalledMs);
-			this.stop = new StopSchedule(this.runningTimes.earliestArrivalMs(handledMs),
+			this.stop = new StopSchedule(this.pauseDetector.earliestArrivalMs(handledMs),
 					this.settings.bounds().graceMs());
 			logger.atInfo()
 				.log("event=stopping callers=%d handled-late-ms=%d others=%d", this.callers.size(), stopAgeMs(),
@@ -350,7 +350,7 @@
 	}
 
 	private void sweep() {
-		this.runningTimes.recordActivity(bootMs());
+		this.pauseDetector.recordActivity(bootMs());
 		this.pool.sweep();
 		this.crashGuard.sweep();
 		this.limits.sweep();
