--- a/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
@@ -49,7 +49,7 @@
 
 	private final BooleanSupplier peerLeads;
 
-	private final LeaseCandidate term;
+	private final LeaseCandidate candidate;
 
 	private boolean leading;
 
@@ -69,7 +69,7 @@
 		this.name = name;
 		this.ticker = ticker;
 		this.peerLeads = peerLeads;
-		this.term = new LeaseCandidate(name, TIME_TO_LIVE_MS);
+		this.candidate = new LeaseCandidate(name, TIME_TO_LIVE_MS);
 	}
 
 	void start() {
@@ -77,11 +77,11 @@
 	}
 
 	boolean holds() {
-		return !this.stopped && this.term.holds(this.ticker.nowMs());
+		return !this.stopped && this.candidate.holds(this.ticker.nowMs());
 	}
 
 	long fencing() {
-		return this.term.fencing();
+		return this.candidate.fencing();
 	}
 
 	/**
@@ -92,7 +92,7 @@
 		boolean held = holds();
 		this.stopped = true;
 		if (held) {
-			this.term.renewal(this.ticker.nowMs()).ifPresent(this::release);
+			this.candidate.renewal(this.ticker.nowMs()).ifPresent(this::release);
 		}
 	}
 
@@ -107,7 +107,7 @@
 	 * leads.
 	 */
 	void storeRestored() {
-		this.term.storeRestored(this.ticker.nowMs());
+		this.candidate.storeRestored(this.ticker.nowMs());
 		setLeading(false);
 	}
 
@@ -115,8 +115,8 @@
 	 * Handles an order that an engine refused because another holder has issued orders.
 	 */
 	void fenced() {
-		logger.atWarning().log("event=fenced fencing=%d", this.term.fencing());
-		this.term.lost();
+		logger.atWarning().log("event=fenced fencing=%d", this.candidate.fencing());
+		this.candidate.lost();
 	}
 
 	private void step() {
@@ -124,12 +124,12 @@
 			return;
 		}
 		long nowMs = this.ticker.nowMs();
-		setLeading(this.term.holds(nowMs));
-		Optional<LeaseCandidate.Claim> renewal = this.term.renewal(nowMs);
+		setLeading(this.candidate.holds(nowMs));
+		Optional<LeaseCandidate.Claim> renewal = this.candidate.renewal(nowMs);
 		if (renewal.isPresent()) {
 			write(renewal.get(), nowMs);
 		}
-		else if (this.peerLeads.getAsBoolean() && !this.term.heldAtRestore()) {
+		else if (this.peerLeads.getAsBoolean() && !this.candidate.heldAtRestore()) {
 			scheduleStep(POLL_INTERVAL_MS);
 		}
 		else {
@@ -141,10 +141,10 @@
 		switch (reply) {
 			case StoreReply.Found<LeaseObject> found -> {
 				LeaseObject lease = found.value();
-				claim(this.term.seen(lease.holder(), lease.fencing(), lease.version(), this.ticker.nowMs()));
+				claim(this.candidate.seen(lease.holder(), lease.fencing(), lease.version(), this.ticker.nowMs()));
 			}
 			case StoreReply.Absent<LeaseObject> ignored ->
-				claim(this.term.absent(this.store.era().current(), this.ticker.nowMs()));
+				claim(this.candidate.absent(this.store.era().current(), this.ticker.nowMs()));
 			default -> scheduleStep(POLL_INTERVAL_MS);
 		}
 	}
@@ -178,7 +178,7 @@
 					}
 				});
 			default -> {
-				this.term.lost();
+				this.candidate.lost();
 				setLeading(false);
 				scheduleStep(POLL_INTERVAL_MS);
 			}
@@ -186,7 +186,7 @@
 	}
 
 	private void confirm(LeaseCandidate.Claim claim, StoreVersion version, long startMs) {
-		this.term.written(claim, version, startMs);
+		this.candidate.written(claim, version, startMs);
 		setLeading(true);
 		scheduleStep(RENEW_INTERVAL_MS);
 	}
@@ -202,7 +202,7 @@
 	private void setLeading(boolean now) {
 		if (now != this.leading) {
 			this.leading = now;
-			logger.atInfo().log("event=%s fencing=%d", now ? "leading" : "not-leading", this.term.fencing());
+			logger.atInfo().log("event=%s fencing=%d", now ? "leading" : "not-leading", this.candidate.fencing());
 		}
 	}
 
