--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
@@ -157,7 +157,7 @@
 			Simulation simulation = new Simulation(1, 0);
 			AtomicInteger left = new AtomicInteger(known);
 			simulation.placement = () -> (left.getAndDecrement() > 0) ? PLACEMENT : null;
-			simulation.awaited = (over) -> {
+			simulation.awaitPlacement = (over) -> {
 				throw new IllegalStateException("waited");
 			};
 			DraftResult result = simulation.draft("r", "a", new Collector(Integer.MAX_VALUE));
@@ -171,7 +171,7 @@
 	void aWaitForAPermissionEndsAtTheDeadlineAndWhenTheCallerDisconnects() {
 		Simulation simulation = new Simulation(1, 0);
 		List<Boolean> over = new ArrayList<>();
-		simulation.awaited = (isOver) -> {
+		simulation.awaitPlacement = (isOver) -> {
 			over.add(isOver.getAsBoolean());
 			simulation.ticker.advance(MODEL.answerDeadlineMs());
 			over.add(isOver.getAsBoolean());
@@ -184,7 +184,7 @@
 				(unknown) -> assertThat(unknown.refusal().code()).isEqualTo(Refusal.Code.DEADLINE));
 		Simulation other = new Simulation(1, 0);
 		over.clear();
-		other.awaited = (isOver) -> {
+		other.awaitPlacement = (isOver) -> {
 			over.add(isOver.getAsBoolean());
 			return PLACEMENT;
 		};
@@ -204,7 +204,7 @@
 
 		private Supplier<Placement> placement = () -> PLACEMENT;
 
-		private Function<BooleanSupplier, Placement> awaited = (over) -> this.placement.get();
+		private Function<BooleanSupplier, Placement> awaitPlacement = (over) -> this.placement.get();
 
 		Simulation(int seed, int faultPercent) {
 			Random random = new Random(seed);
@@ -228,7 +228,7 @@
 		}
 
 		DraftResult draft(String id, String prompt, TokenSink sink, long deadlineMs) {
-			DraftRequest request = new DraftRequest(id, MODEL, this.placement, this.awaited, prompt, TOKENS,
+			DraftRequest request = new DraftRequest(id, MODEL, this.placement, this.awaitPlacement, prompt, TOKENS,
 					this.ticker.nowMs() + deadlineMs);
 			return new DraftSession(request, this.chooser, this.table, this.engines, new RetryBudget(0.1, 20),
 					this.ticker)
