--- a/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ListWatchRotation.java
@@ -66,7 +66,7 @@
 	 * @return {@code false} where polling sooner than the others would only double the
 	 * number of calls
 	 */
-	static boolean leavesFollowers(int routers) {
+	static boolean hasFollowers(int routers) {
 		return routers > TARGET_WATCHERS;
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamListReader.java
@@ -104,7 +104,7 @@
 	 * @return {@code false} also if there are no others
 	 */
 	boolean readsEarly() {
-		return watching() && ListWatchRotation.leavesFollowers(this.router.peers().routerCount(this.router.nowMs()));
+		return watching() && ListWatchRotation.hasFollowers(this.router.peers().routerCount(this.router.nowMs()));
 	}
 
 	/**
