--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -84,7 +84,7 @@
 	 * Adds addresses of possible peers.
 	 * @param addresses the addresses; this router's own is ignored
 	 */
-	void addresses(List<String> addresses) {
+	void addAddresses(List<String> addresses) {
 		for (String address : addresses) {
 			if (!address.equals(this.self)) {
 				this.byAddress.computeIfAbsent(address, (ignored) -> new Peer());
@@ -120,7 +120,7 @@
 		peer.receivedAtMs = nowMs;
 		this.active.update(status, nowMs);
 		updateLeader(status, nowMs);
-		addresses(status.routers());
+		addAddresses(status.routers());
 	}
 
 	/**
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -53,7 +53,7 @@
 	// peers still count.
 	@Test
 	void aRouterWithoutActivePeersStillCountsKnownOnes() {
-		this.table.addresses(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.1:1"));
+		this.table.addAddresses(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.1:1"));
 
 		assertThat(this.table.routerCount(0)).isEqualTo(3);
 		assertThat(this.table.activeCount(0)).isZero();
@@ -134,7 +134,7 @@
 		for (int index = 2; index < 96; index++) {
 			known.add("10.0.0." + index + ":1");
 		}
-		this.table.addresses(known);
+		this.table.addAddresses(known);
 		assertThat(this.table.listWatchers(0)).isZero();
 
 		this.table.update(status("10.0.0.2:1", 1, true, 0), 0);
@@ -189,7 +189,7 @@
 		for (int index = 2; index < 89; index++) {
 			known.add("10.0.0." + index + ":1");
 		}
-		this.table.addresses(known);
+		this.table.addAddresses(known);
 		known.subList(0, 36).forEach((address) -> this.table.update(ofLeader(address, false, false, -1), 1_000));
 
 		assertThat(this.table.tokenLayersAt("e1", 1_000)).isBetween(8_600L, 8_800L);
