--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -221,7 +221,7 @@
 	 * @param nowMs the time
 	 * @return the number of known peers and of those that serve
 	 */
-	ReachablePeers others(String failureDomain, long nowMs) {
+	ReachablePeers reachablePeers(String failureDomain, long nowMs) {
 		List<Peer> known = this.byAddress.values().stream().filter((peer) -> peer.status != null).toList();
 		List<Peer> near = known.stream().filter((peer) -> peer.status.failureDomain().equals(failureDomain)).toList();
 		List<Peer> reachable = near.isEmpty() ? known : near;
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Router.java
@@ -334,7 +334,7 @@
 					this.settings.bounds().graceMs());
 			logger.atInfo()
 				.log("event=stopping callers=%d handled-late-ms=%d others=%d", this.callers.size(), stopAgeMs(),
-						this.peers.others(this.settings.failureDomain(), nowMs()).serving());
+						this.peers.reachablePeers(this.settings.failureDomain(), nowMs()).serving());
 			this.leadership.stop();
 			new StopSequence(this, this.stop, this::stopListening, stopped).start();
 		});
@@ -475,7 +475,7 @@
 	public Optional<StopAdmission.Judgement> judgeInStop(StopAdmission.Candidate candidate) {
 		return Optional.ofNullable(this.stop)
 			.map((schedule) -> this.stopAdmission.judge(schedule, bootMs(), candidate, inProgressMs(candidate.family()),
-					this.peers.others(this.settings.failureDomain(), nowMs())));
+					this.peers.reachablePeers(this.settings.failureDomain(), nowMs())));
 	}
 
 	private long[] inProgressMs(StopAdmission.Family family) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/PeerTableTests.java
@@ -203,16 +203,16 @@
 		this.table.update(inDomain("10.0.0.3:1", "a", true), 0);
 		this.table.update(inDomain("10.0.0.4:1", "b", false), 0);
 
-		assertThat(this.table.others("a", 100)).isEqualTo(new PeerTable.ReachablePeers(2, 1));
-		assertThat(this.table.others("a", 100).suffice()).isFalse();
+		assertThat(this.table.reachablePeers("a", 100)).isEqualTo(new PeerTable.ReachablePeers(2, 1));
+		assertThat(this.table.reachablePeers("a", 100).suffice()).isFalse();
 	}
 
 	@Test
 	void theOnlyRouterOfAFailureDomainReliesOnOtherDomains() {
 		this.table.update(inDomain("10.0.0.4:1", "b", false), 0);
 
-		assertThat(this.table.others("a", 100).suffice()).isTrue();
-		assertThat(this.table.others("a", PeerTable.SILENT_MS).suffice()).isFalse();
+		assertThat(this.table.reachablePeers("a", 100).suffice()).isTrue();
+		assertThat(this.table.reachablePeers("a", PeerTable.SILENT_MS).suffice()).isFalse();
 	}
 
 	// Of 99 peers, the statuses of 36 arrive in time. The rest is silent because it was
@@ -223,7 +223,7 @@
 			this.table.update(inDomain("10.0.0." + index + ":1", "a", false), (index < 38) ? 2_000 : 0);
 		}
 
-		assertThat(this.table.others("a", 2_000).suffice()).isTrue();
+		assertThat(this.table.reachablePeers("a", 2_000).suffice()).isTrue();
 	}
 
 	private static PeerStatus inDomain(String address, String failureDomain, boolean leaving) {
