--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopSchedule.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopSchedule.java
@@ -73,7 +73,7 @@
 	 * @param nowMs the current time
 	 * @return {@code false} if the process no longer listens
 	 */
-	boolean takesConnections(long nowMs) {
+	boolean acceptsConnections(long nowMs) {
 		return ageMs(nowMs) < Math.min(ACCEPT_CONNECTIONS_MS, ACCEPT_CONNECTIONS_RATIO * this.graceMs);
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
@@ -59,7 +59,7 @@
 	private void check() {
 		long nowMs = this.router.bootMs();
 		List<CallerConnection> busy = this.router.callers().stream().filter(CallerConnection::busy).toList();
-		if (!this.schedule.takesConnections(nowMs)) {
+		if (!this.schedule.acceptsConnections(nowMs)) {
 			stopAcceptingOnce();
 			Set.copyOf(this.router.callers()).forEach(CallerConnection::closeIfIdle);
 			if (busy.isEmpty() || this.schedule.over(nowMs)) {
