--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -54,7 +54,7 @@
 	 */
 	private final String first;
 
-	private final EngineLoad load;
+	private final AttemptLoad load;
 
 	private UpstreamConnection connection;
 
@@ -80,7 +80,7 @@
 		this.session = session;
 		this.target = target;
 		this.first = target.first().incarnation();
-		this.load = new EngineLoad(session.router().directory(), target, session.request().promptTokens(),
+		this.load = new AttemptLoad(session.router().directory(), target, session.request().promptTokens(),
 				session.expectedTokens());
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineLoad.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/AttemptLoad.java
@@ -11,7 +11,7 @@
  * prompt is counted as unread at most once. An upstream that has been removed is skipped,
  * since its counts were removed with it. Confined to the event loop.
  */
-final class EngineLoad {
+final class AttemptLoad {
 
 	private final UpstreamDirectory directory;
 
@@ -32,7 +32,7 @@
 	 * @param expectedTokens the number of tokens that the request is expected to have
 	 * when it completes
 	 */
-	EngineLoad(UpstreamDirectory directory, Target target, int promptTokens, int expectedTokens) {
+	AttemptLoad(UpstreamDirectory directory, Target target, int promptTokens, int expectedTokens) {
 		this.directory = directory;
 		this.target = target;
 		this.promptTokens = promptTokens;
