--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -453,7 +453,7 @@
 		if (connectionEnded && !refused) {
 			recordPossibleCrash();
 		}
-		this.session.onAttemptEnd(refused ? new AttemptOutcome.NotRun(reason) : new AttemptOutcome.Unknown(reason),
+		this.session.onAttemptOutcome(refused ? new AttemptOutcome.NotRun(reason) : new AttemptOutcome.Unknown(reason),
 				(this.head != null) ? this.head.faultyAddress() : null);
 	}
 
@@ -477,7 +477,7 @@
 
 	private void end(AttemptOutcome end, String faultyAddress) {
 		settle();
-		this.session.onAttemptEnd(end, faultyAddress);
+		this.session.onAttemptOutcome(end, faultyAddress);
 	}
 
 	private void settle() {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -292,7 +292,7 @@
 	 * @param end how it ended
 	 * @param faultyAddress the engine that made it fail, or {@code null}
 	 */
-	void onAttemptEnd(AttemptOutcome end, String faultyAddress) {
+	void onAttemptOutcome(AttemptOutcome end, String faultyAddress) {
 		Attempt ended = this.attempt;
 		this.attempt = null;
 		avoid(ended, end, faultyAddress);
@@ -330,7 +330,7 @@
 		Attempt stalled = this.attempt;
 		if (stalled != null && !this.done) {
 			stalled.abandon();
-			onAttemptEnd(new AttemptOutcome.Unknown("stalled"), address);
+			onAttemptOutcome(new AttemptOutcome.Unknown("stalled"), address);
 		}
 	}
 
@@ -468,7 +468,7 @@
 	void onFailedAnswer(Answer answer) {
 		ranWell();
 		this.failedAnswer = answer;
-		onAttemptEnd(new AttemptOutcome.Failed("status-" + answer.status().code()), null);
+		onAttemptOutcome(new AttemptOutcome.Failed("status-" + answer.status().code()), null);
 	}
 
 	/**
