--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/PipelineChooser.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/PipelineChooser.java
@@ -127,7 +127,7 @@
 			if (avoided.contains(upstream.id())) {
 				continue;
 			}
-			if (this.table.load(upstream.id()).paused(nowMs)) {
+			if (this.table.load(upstream.id()).backingOff(nowMs)) {
 				paused.add(upstream);
 			}
 			else {
--- a/whinjunction-core/src/main/java/io/whinjunction/pipeline/UpstreamLoad.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/pipeline/UpstreamLoad.java
@@ -77,7 +77,7 @@
 	 * @param nowMs the current time
 	 * @return {@code true} during the backoff
 	 */
-	public boolean paused(long nowMs) {
+	public boolean backingOff(long nowMs) {
 		return this.hasFailed && nowMs < this.backoffUntilMs.get();
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/pipeline/UpstreamTableTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/pipeline/UpstreamTableTests.java
@@ -59,12 +59,12 @@
 	void theBackoffOfAFailedUpstreamGrowsUntilItAnswers() {
 		UpstreamLoad load = this.table.load("a");
 		load.failed(0);
-		assertThat(load.paused(499)).isTrue();
-		assertThat(load.paused(500)).isFalse();
+		assertThat(load.backingOff(499)).isTrue();
+		assertThat(load.backingOff(500)).isFalse();
 		load.failed(500);
-		assertThat(load.paused(1499)).isTrue();
+		assertThat(load.backingOff(1499)).isTrue();
 		load.succeeded(1);
-		assertThat(load.paused(1499)).isFalse();
+		assertThat(load.backingOff(1499)).isFalse();
 	}
 
 	private static Upstream upstream(String id, boolean leaving) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
@@ -127,7 +127,7 @@
 			node.put("generation", upstream.generation());
 			node.put("leaving", upstream.leaving());
 			node.put("in_flight", this.context.upstreams().load(upstream.id()).inFlight());
-			node.put("paused", this.context.upstreams().load(upstream.id()).paused(this.context.ticker().nowMs()));
+			node.put("paused", this.context.upstreams().load(upstream.id()).backingOff(this.context.ticker().nowMs()));
 		}
 		return array;
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/EachLayerOnceTests.java
@@ -110,7 +110,7 @@
 				(unknown) -> assertThat(unknown.refusal().code()).isEqualTo(Refusal.Code.DEADLINE));
 		assertThat(result.attempts()).isEqualTo(1);
 		assertThat(simulation.table.all().keySet())
-			.noneMatch((id) -> simulation.table.load(id).paused(simulation.ticker.nowMs()));
+			.noneMatch((id) -> simulation.table.load(id).backingOff(simulation.ticker.nowMs()));
 	}
 
 	// Every engine fails to respond once, as when a link stalls. Each engine of a range
