--- a/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/CrashingRequests.java
@@ -17,8 +17,8 @@
  * also cuts the other requests on that upstream, and these fail over to the upstreams
  * that the crashing request reaches next.
  * <p>
- * The other requests are told apart from it because they ran successfully before, or do
- * so elsewhere. A request is refused once {@link #MAX_CRASHES} upstreams have crashed
+ * The other requests are distinguished from it because they ran successfully before, or
+ * do so elsewhere. A request is refused once {@link #MAX_CRASHES} upstreams have crashed
  * while it was queued or starting there, as observed by any router, and nothing shows
  * that it can run; or once {@link #MAX_CRASHES_RUNNING} upstreams have crashed that had
  * begun to run it and had returned no result, which happens to other requests only by
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
@@ -7,8 +7,9 @@
  * <p>
  * Invariants: a request that may have run is only repeated if its route allows it; a
  * refusal is only chosen if no upstream can have run the request, in this attempt or an
- * earlier one; no request is sent to more upstreams than its route allows, for which
- * {@link #onlyTriedUpstreams} tells the caller when to choose among those already tried.
+ * earlier one; no request is sent to more upstreams than its route allows: once
+ * {@link #onlyTriedUpstreams} returns {@code true}, the caller of this class chooses
+ * among those already tried.
  * Stateless.
  */
 public final class RetryPolicy {
--- a/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/forward/RetryPolicyTests.java
@@ -37,8 +37,8 @@
 		}
 	}
 
-	// Guards against running a request twice: its caller is told that it has not run
-	// and sends it again.
+	// Guards against running a request twice: the caller of a refused request may send it
+	// again, because a refusal means that the request has not run.
 	@Property
 	void aRefusalIsOnlySentIfTheRequestCannotHaveRun(@ForAll @IntRange(min = 0, max = 3) int outcome,
 			@ForAll boolean before, @ForAll @IntRange(min = 0, max = 2) int kind,
