--- a/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/DomainPlan.java
@@ -35,8 +35,8 @@
 
 	/**
 	 * Ratio of the best rate that a plan must sustain to be chosen for its spare engines:
-	 * a loss costs its replica's whole rate for a load time, and the last quarter of the
-	 * rate is needed at peaks only.
+	 * losing an engine costs the full rate of its replica for a load time, and the last
+	 * quarter of the rate is needed at peaks only.
 	 */
 	private static final double MIN_RATE_RATIO = 0.8;
 
--- a/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/LayerPlanner.java
@@ -35,7 +35,7 @@
 
 	/**
 	 * Ratio of the tightest holder's capacity that an empty engine keeps when it closes a
-	 * gap: the engine with the least capacity bounds the whole path.
+	 * gap: the engine with the least capacity limits the capacity of the path.
 	 */
 	private static final double CAPACITY_RATIO = 0.8;
 
