--- a/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Attempt.java
@@ -276,7 +276,7 @@
 	 * onto another path: only the new engines read the context so far, and no repeat is
 	 * spent. A path through another failure domain would send the whole context over the
 	 * pipe that all streams share, 26 ms each for fifty streams at once, so in that case
-	 * the stream rather starts anew there as a whole.
+	 * the request rather fails over to an attempt that runs entirely in that domain.
 	 * @param address the stalled engine
 	 */
 	void stalled(String address) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
@@ -296,7 +296,7 @@
 	}
 
 	/**
-	 * Gives up the current request if it crashes upstreams and has no answer yet.
+	 * Fails the current request if it crashes upstreams and has no answer yet.
 	 * @param crashes matches requests that crash upstreams
 	 */
 	void giveUpIf(Predicate<RequestFingerprint> crashes) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ConfigurationFreshness.java
@@ -110,7 +110,7 @@
 	}
 
 	/**
-	 * Returns whether the configuration may be acted on, as far as peers can tell.
+	 * Returns whether the configuration may be acted on, judging by what peers report.
 	 * @return {@code false} after a start, until peers have responded or the time for
 	 * that is over
 	 */
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -391,8 +391,8 @@
 			return;
 		}
 		Upstream first = ended.target().first();
-		// A chain may begin at the same engine again: a lost answer or a full engine says
-		// little about it, and if the route allows no other one, there is no alternative.
+		// A chain may begin at the same engine again: a lost answer or a full engine is
+		// little evidence against it, and if the route allows no other one, there is no alternative.
 		if (!this.service.chained()) {
 			this.history.recordFailure(first.incarnation());
 		}
@@ -433,7 +433,7 @@
 		this.router.crashGuard().crashed(this.fingerprint, upstream, running);
 	}
 
-	/** Gives up the request because it crashes other upstreams. */
+	/** Fails the request because it crashes other upstreams. */
 	void onCrashesUpstreams() {
 		// A request that has produced results is not the cause, but affected by the crash
 		// that another one caused.
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StallRules.java
@@ -19,7 +19,7 @@
 final class StallRules {
 
 	/**
-	 * A single stream is late after this many of its usual gaps. Fewer would cause a
+	 * A single stream is late after this many of its mean gaps. Fewer would cause a
 	 * status query for each long prompt that is read before it.
 	 */
 	private static final double ALONE_GAPS = 3;
@@ -37,7 +37,7 @@
 	private static final double MAX_ALONE_MS = 400;
 
 	/**
-	 * Several streams are late after this many usual gaps: a pass of a slow engine takes
+	 * Several streams are late after this many mean gaps: a pass of a slow engine takes
 	 * longer than one gap.
 	 */
 	private static final double TOGETHER_GAPS = 1.8;
@@ -51,7 +51,7 @@
 	 */
 	private static final int MIN_TOGETHER = 3;
 
-	/** A stream over a silent engine fails over after this many usual gaps. */
+	/** A stream over a silent engine fails over after this many mean gaps. */
 	private static final double FAILOVER_GAPS = 1.2;
 
 	private static final double MIN_FAILOVER_MS = 50;
@@ -153,7 +153,7 @@
 	 * The time during which a stream has received no event. Immutable.
 	 *
 	 * @param engineIds the engines of its path
-	 * @param begun whether the usual gap between its events is known
+	 * @param begun whether the mean gap between its events is known
 	 * @param meanGapMs the mean time between its events; very large before the second
 	 * event
 	 * @param quietMs the time since its last event, or since it was sent
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopSequence.java
@@ -16,7 +16,7 @@
  * closes each connection with a response. Then it rejects requests, then it accepts no
  * more connections, and it exits when nothing is in progress or the grace period is
  * nearly over. Callers that still wait for the beginning of a response then receive one
- * that says so. Confined to the event loop.
+ * that reports the stop. Confined to the event loop.
  */
 final class StopSequence {
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StoreEra.java
@@ -78,7 +78,7 @@
 	 * @param namedEra the era that the reply names, or {@link #UNSPECIFIED}
 	 * @param reply the reply apart from its era
 	 * @param <T> the type of the result
-	 * @return the reply if it may be used, otherwise one that says why not
+	 * @return the reply if it may be used, otherwise one with the reason why not
 	 */
 	public <T> StoreReply<T> validate(Query query, long namedEra, StoreReply<T> reply) {
 		if (namedEra == UNSPECIFIED && this.known) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamConnection.java
@@ -106,7 +106,7 @@
 	}
 
 	/**
-	 * Abandons the request: the connection is closed at once, which tells the upstream to
+	 * Abandons the request: the connection is closed at once to signal the upstream to
 	 * stop.
 	 */
 	void abandon() {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/ConfigurationFreshnessTests.java
@@ -57,8 +57,8 @@
 	}
 
 	// A key was revoked by a version that the store has lost and that no router has read.
-	// The copy looks like the newest version until operators have written their
-	// configuration again.
+	// The older copy cannot be distinguished from the newest version until operators have
+	// written their configuration again.
 	@Test
 	void rightAfterARestoreNothingIsProvedAndTheRestoreIsReported() {
 		this.freshness.storeRestored(0, NOW_MS);
--- a/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/SimulatedStore.java
@@ -144,7 +144,7 @@
 				new RoutingConfiguration(version, List.of(), List.of(), CallerLimits.DEFAULT, List.of()), new byte[0]);
 	}
 
-	/** Tells whether a router reaches the store. */
+	/** Returns whether a router currently reaches the store. */
 	interface Reach {
 
 		boolean now();
