--- a/whinjunction-router/src/main/java/io/whinjunction/router/ActivePeers.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ActivePeers.java
@@ -122,15 +122,15 @@
 
 	/**
 	 * Returns addresses of active peers that are not about to stop.
-	 * @param most the maximum number of addresses
+	 * @param max the maximum number of addresses
 	 * @param nowMs the time
 	 * @return the peers with the newest statuses, newest first
 	 */
-	List<String> newestNotLeaving(int most, long nowMs) {
+	List<String> newestNotLeaving(int max, long nowMs) {
 		evictSilent(nowMs);
-		List<String> addresses = new ArrayList<>(most);
+		List<String> addresses = new ArrayList<>(max);
 		Iterator<Received> newestFirst = this.byAddress.sequencedValues().reversed().iterator();
-		while (newestFirst.hasNext() && addresses.size() < most) {
+		while (newestFirst.hasNext() && addresses.size() < max) {
 			PeerStatus status = newestFirst.next().status;
 			if (!status.leaving()) {
 				addresses.add(status.address());
--- a/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/PeerTable.java
@@ -151,15 +151,15 @@
 
 	/**
 	 * Chooses peers to query.
-	 * @param most the maximum number of active peers
+	 * @param max the maximum number of active peers
 	 * @param nowMs the time
 	 * @return addresses of active peers, and in one period of four, or without active
 	 * peers, that of a silent peer, so that the end of a network partition is detected
 	 */
-	List<String> targets(int most, long nowMs) {
+	List<String> targets(int max, long nowMs) {
 		List<String> active = this.active.addresses(nowMs);
-		List<String> targets = new ArrayList<>(most + 1);
-		while (targets.size() < most && !active.isEmpty()) {
+		List<String> targets = new ArrayList<>(max + 1);
+		while (targets.size() < max && !active.isEmpty()) {
 			targets.add(removeRandom(active));
 		}
 		if (targets.isEmpty() || this.random.nextInt(SILENT_QUERY_PERIODS) == 0) {
@@ -180,14 +180,14 @@
 
 	/**
 	 * Chooses peers at random from which no status was received lately.
-	 * @param most the maximum number of peers
+	 * @param max the maximum number of peers
 	 * @param nowMs the time
 	 * @return addresses
 	 */
-	List<String> silent(int most, long nowMs) {
+	List<String> silent(int max, long nowMs) {
 		List<String> silent = silent(nowMs);
-		List<String> chosen = new ArrayList<>(most);
-		while (chosen.size() < most && !silent.isEmpty()) {
+		List<String> chosen = new ArrayList<>(max);
+		while (chosen.size() < max && !silent.isEmpty()) {
 			chosen.add(removeRandom(silent));
 		}
 		return chosen;
@@ -350,12 +350,12 @@
 	 * are gone lose their place to others. The share of each stays the same, so that a
 	 * router without active peers does not take all of it.
 	 * @param key identifies the task
-	 * @param most the maximum number of routers that perform the task
+	 * @param max the maximum number of routers that perform the task
 	 * @param nowMs the time
 	 * @return the share of each of these routers; 0 where this router is not among them
 	 */
-	double shareOf(long key, int most, long nowMs) {
-		int performers = Math.min(most, routerCount(nowMs));
+	double shareOf(long key, int max, long nowMs) {
+		int performers = Math.min(max, routerCount(nowMs));
 		return (countNearer(key, nowMs) < performers) ? 1.0 / performers : 0;
 	}
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamDirectory.java
@@ -273,19 +273,19 @@
 	/**
 	 * Returns how much engine memory the requests of this process occupy, for the engines
 	 * with the most.
-	 * @param most the maximum number of engines
+	 * @param max the maximum number of engines
 	 * @return tokens times layers, by the incarnation of the engine
 	 */
-	Map<String, Long> busiest(int most) {
+	Map<String, Long> busiest(int max) {
 		List<UpstreamState> busy = new ArrayList<>();
 		for (UpstreamState state : this.byId.values()) {
 			if (state.tokenLayers() > 0) {
 				busy.add(state);
 			}
 		}
-		if (busy.size() > most) {
+		if (busy.size() > max) {
 			busy.sort(Comparator.comparingLong(UpstreamState::tokenLayers).reversed());
-			busy = busy.subList(0, most);
+			busy = busy.subList(0, max);
 		}
 		Map<String, Long> tokenLayers = HashMap.newHashMap(busy.size());
 		for (UpstreamState state : busy) {
--- a/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
+++ b/whinjunction-router/src/test/java/io/whinjunction/router/UpstreamLimitsTests.java
@@ -53,11 +53,11 @@
 			}
 		}
 
-		double most = 1.5 * perSecond * WINDOW_MS / 1000 + 5;
+		double max = 1.5 * perSecond * WINDOW_MS / 1000 + 5;
 		for (long startMs : sentAtMs) {
 			assertThat(
 					(double) sentAtMs.stream().filter((atMs) -> atMs >= startMs && atMs < startMs + WINDOW_MS).count())
-				.isLessThanOrEqualTo(most);
+				.isLessThanOrEqualTo(max);
 		}
 		assertThat((double) sentAtMs.size()).isGreaterThan(0.8 * perSecond * 5 * WINDOW_MS / 1000);
 	}
