--- a/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/chain/PathFinder.java
@@ -37,8 +37,9 @@
 
 	/**
 	 * Additional cost of a hop to another failure domain: the activations of a prompt
-	 * occupy the bandwidth that all such hops share. As high as the cost of a complete path inside
-	 * a failure domain, so that a path moves to another domain entirely if it can.
+	 * occupy the bandwidth that all such hops share. As high as the cost of a complete
+	 * path inside a failure domain, so that a path moves to another domain entirely if it
+	 * can.
 	 */
 	private static final double DOMAIN_CHANGE_MS = 8.0;
 
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/FleetRetryBudget.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/FleetRetryBudget.java
@@ -12,9 +12,9 @@
  * that partitioned, new and replaced routers, which have no record of what was spent
  * before, cannot push the sum over the bound.
  * <p>
- * Invariant: in each window of complete buckets, retries are at most {@link #RATIO_MARGIN}
- * of the ratio times this process's requests plus its share of the slack. Not
- * thread-safe: confined to the event loop.
+ * Invariant: in each window of complete buckets, retries are at most
+ * {@link #RATIO_MARGIN} of the ratio times this process's requests plus its share of the
+ * slack. Not thread-safe: confined to the event loop.
  */
 public final class FleetRetryBudget {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/forward/RetryPolicy.java
@@ -9,8 +9,7 @@
  * refusal is only chosen if no upstream can have run the request, in this attempt or an
  * earlier one; no request is sent to more upstreams than its route allows: once
  * {@link #onlyTriedUpstreams} returns {@code true}, the caller of this class chooses
- * among those already tried.
- * Stateless.
+ * among those already tried. Stateless.
  */
 public final class RetryPolicy {
 
--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -392,7 +392,8 @@
 		}
 		Upstream first = ended.target().first();
 		// A chain may begin at the same engine again: a lost answer or a full engine is
-		// little evidence against it, and if the route allows no other one, there is no alternative.
+		// little evidence against it, and if the route allows no other one, there is no
+		// alternative.
 		if (!this.service.chained()) {
 			this.history.recordFailure(first.incarnation());
 		}
