--- a/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CrashRecords.java
@@ -136,8 +136,8 @@
 	}
 
 	/**
-	 * Forgets what the store holds: the store was restored from an older copy, so writes
-	 * may be gone.
+	 * Clears the record of what the store holds: the store was restored from an older
+	 * copy, so writes may be lost.
 	 */
 	void storeRestored() {
 		this.stored.clear();
--- a/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/EngineMonitor.java
@@ -162,7 +162,7 @@
 		}
 		double untilLateMs = untilLateMs();
 		this.timer.checkWithin(this.suspicions.isEmpty() ? untilLateMs : CheckTimer.MIN_INTERVAL_MS);
-		if (untilLateMs > 0 && this.suspicions.isEmpty() && !anyOverEndedEngine()) {
+		if (untilLateMs > 0 && this.suspicions.isEmpty() && !anyOverSupersededEngine()) {
 			// Nearly all checks find nothing, and checks run many times a second.
 			return;
 		}
@@ -185,9 +185,9 @@
 		}
 	}
 
-	// The directory remembers ended incarnations permanently, while soon no stream is
-	// over one.
-	private boolean anyOverEndedEngine() {
+	// The directory keeps superseded incarnations long after the last stream over one has
+	// ended, so a non-empty set alone must not cause a full check.
+	private boolean anyOverSupersededEngine() {
 		if (!this.router.directory().anySuperseded()) {
 			return false;
 		}
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -13,7 +13,7 @@
  * Enforces the request limits that upstreams report, as this router's share of them.
  * <p>
  * Load pattern: an overloaded upstream accepts a few requests a second from all routers
- * together. Each router would send that many on its own, and in a large fleet even one
+ * together. Each router would send as many on its own, and in a large fleet even one
  * request from each would be too many. So only as many routers send to the upstream as
  * the limit permits to send one request at once, each at its share of the rate; the
  * others do not send there. Routers report limits to each other, since a router that does
