--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/ClaimSweeper.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/ClaimSweeper.java
@@ -34,7 +34,7 @@
 	 * Clears some.
 	 * @return how many were removed
 	 */
-	int step() {
+	int sweep() {
 		if (!(this.store.list(ActionName.PREFIX) instanceof Listing.Objects found)) {
 			return 0;
 		}
--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
@@ -186,7 +186,7 @@
 	private void sweep() {
 		if (this.ticker.nowMs() - this.sweptAtMs >= SWEEP_EVERY_MS) {
 			this.sweptAtMs = this.ticker.nowMs();
-			this.sweeper.step();
+			this.sweeper.sweep();
 		}
 	}
 
--- a/whinjunction-controller/src/test/java/io/whinjunction/controller/ClaimSweeperTests.java
+++ b/whinjunction-controller/src/test/java/io/whinjunction/controller/ClaimSweeperTests.java
@@ -31,9 +31,9 @@
 		claims.claim(old, "h");
 		this.epochS.addAndGet(KEPT_S);
 		claims.claim(young, "h");
-		assertThat(this.sweeper.step()).isZero();
+		assertThat(this.sweeper.sweep()).isZero();
 		this.epochS.incrementAndGet();
-		assertThat(this.sweeper.step()).isEqualTo(1);
+		assertThat(this.sweeper.sweep()).isEqualTo(1);
 		assertThat(this.store.read(old.objectKey())).isInstanceOf(Read.Absent.class);
 		assertThat(this.store.read(young.objectKey())).isInstanceOf(Read.Found.class);
 	}
@@ -43,7 +43,7 @@
 	void anUnreadableClaimStays() {
 		this.store.write(ActionName.PREFIX + "t/s/x", "{", 0);
 		this.epochS.set(Long.MAX_VALUE / 2);
-		assertThat(this.sweeper.step()).isZero();
+		assertThat(this.sweeper.sweep()).isZero();
 	}
 
 }
