--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ApplyCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ApplyCommand.java
@@ -119,7 +119,7 @@
 	}
 
 	private boolean inForce(String entry, long revision) {
-		JsonNode status = ask(entry, "/status");
+		JsonNode status = get(entry, "/status");
 		return status != null && status.path("revision").asLong(0) >= revision;
 	}
 
@@ -130,7 +130,7 @@
 	}
 
 	private boolean confirms(String entry) {
-		JsonNode status = ask(entry, "/status");
+		JsonNode status = get(entry, "/status");
 		// An entry without any configuration yet is open for the first one.
 		return status != null && (status.path("serving").asBoolean(false) || status.path("revision").asLong(0) == 0);
 	}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
@@ -25,7 +25,7 @@
 			throw new UsageException("the whin-request-id of an answer is needed");
 		}
 		for (String entry : entries()) {
-			JsonNode decision = ask(entry, "/explain/" + this.requestId);
+			JsonNode decision = get(entry, "/explain/" + this.requestId);
 			if (decision != null) {
 				show(decision);
 				return ExitCode.OK;
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
@@ -29,7 +29,7 @@
 		List<Map<String, Object>> rows = new ArrayList<>();
 		boolean all = true;
 		for (String entry : entries()) {
-			JsonNode status = ask(entry, "/status");
+			JsonNode status = get(entry, "/status");
 			rows.add(row(entry, status));
 			all &= status != null && status.path("serving").asBoolean(false);
 		}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
@@ -22,7 +22,7 @@
 		List<Map<String, Object>> rows = new ArrayList<>();
 		ExitCode code = ExitCode.OK;
 		for (String entry : entries()) {
-			JsonNode upstreams = ask(entry, "/upstreams");
+			JsonNode upstreams = get(entry, "/upstreams");
 			if (upstreams == null) {
 				problem(entry + " did not answer");
 				code = ExitCode.UNAVAILABLE;
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
@@ -87,7 +87,7 @@
 	 * @param path what to ask
 	 * @return its answer, or {@code null} where there was none
 	 */
-	JsonNode ask(String entry, String path) {
+	JsonNode get(String entry, String path) {
 		return parse(this.caller.call(Call.fetch(entry, path, TIMEOUT_MS)));
 	}
 
