--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ApplyCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ApplyCommand.java
@@ -41,21 +41,21 @@
 			return ExitCode.USAGE;
 		}
 		if (!this.force && hasEntries() && !majorityConfirms()) {
-			problem("at most half of the entries confirm their configuration; a change might not be in force "
+			printError("at most half of the entries confirm their configuration; a change might not be in force "
 					+ "everywhere in time. Nothing was changed; --force applies all the same.");
 			return ExitCode.UNAVAILABLE;
 		}
 		ObjectStore store = store();
 		Read read = store.read(Manifest.KEY);
 		if (read instanceof Read.Unavailable unavailable) {
-			problem("the platform did not answer, nothing was changed: " + unavailable.reason());
+			printError("the platform did not answer, nothing was changed: " + unavailable.reason());
 			return ExitCode.UNAVAILABLE;
 		}
 		long version = (read instanceof Read.Found found) ? found.version() : ObjectStore.ABSENT;
 		Manifest old = (read instanceof Read.Found found) ? Manifest.parse(found.value()) : null;
 		long revision = (old != null) ? old.revision() : 0;
 		if (this.expectRevision >= 0 && this.expectRevision != revision) {
-			problem("the revision is " + revision + ", not " + this.expectRevision + "; nothing was changed");
+			printError("the revision is " + revision + ", not " + this.expectRevision + "; nothing was changed");
 			return ExitCode.CONFLICT;
 		}
 		if (old != null && old.document().equals(valid.document())) {
@@ -82,12 +82,12 @@
 				return conflict();
 			}
 		}
-		problem("whether the change was accepted is not known (" + uncertain.reason() + "); run 'whin status'");
+		printError("whether the change was accepted is not known (" + uncertain.reason() + "); run 'whin status'");
 		return ExitCode.UNAVAILABLE;
 	}
 
 	private static ExitCode conflict() {
-		problem("another operator's change was accepted first; nothing was changed. See 'whin diff'.");
+		printError("another operator's change was accepted first; nothing was changed. See 'whin diff'.");
 		return ExitCode.CONFLICT;
 	}
 
@@ -113,7 +113,7 @@
 			System.out.println("in force: revision " + manifest.revision() + " on " + entries().size() + " entries");
 			return ExitCode.OK;
 		}
-		problem("accepted, but not known to be in force on: " + String.join(", ", missing)
+		printError("accepted, but not known to be in force on: " + String.join(", ", missing)
 				+ "; an entry that cannot confirm its configuration refuses requests by itself");
 		return ExitCode.PARTIAL;
 	}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/DiffCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/DiffCommand.java
@@ -22,7 +22,7 @@
 		}
 		Read read = store().read(Manifest.KEY);
 		if (read instanceof Read.Unavailable unavailable) {
-			problem("the platform did not answer: " + unavailable.reason());
+			printError("the platform did not answer: " + unavailable.reason());
 			return ExitCode.UNAVAILABLE;
 		}
 		Manifest manifest = (read instanceof Read.Found found) ? Manifest.parse(found.value()) : null;
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/DrainCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/DrainCommand.java
@@ -17,7 +17,7 @@
 				System.out.println(entry + " is stopping");
 			}
 			else {
-				problem(entry + " did not answer");
+				printError(entry + " did not answer");
 				code = ExitCode.UNAVAILABLE;
 			}
 		}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
@@ -31,7 +31,7 @@
 				return ExitCode.OK;
 			}
 		}
-		problem("none of the entries remembers '" + this.requestId + "'; each keeps its newest 2048 requests");
+		printError("none of the entries remembers '" + this.requestId + "'; each keeps its newest 2048 requests");
 		return ExitCode.PARTIAL;
 	}
 
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/FilesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/FilesCommand.java
@@ -33,7 +33,7 @@
 		return switch (checked) {
 			case Checked.Valid valid -> valid;
 			case Checked.Invalid invalid -> {
-				invalid.problems().forEach((problem) -> problem(problem.toString()));
+				invalid.problems().forEach((problem) -> printError(problem.toString()));
 				yield null;
 			}
 		};
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ServicesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ServicesCommand.java
@@ -21,13 +21,13 @@
 	@Override
 	ExitCode execute() {
 		if (!(store().read(Manifest.KEY) instanceof Read.Found found)) {
-			problem("the platform did not answer, or nothing was applied yet");
+			printError("the platform did not answer, or nothing was applied yet");
 			return ExitCode.UNAVAILABLE;
 		}
 		Manifest manifest = Manifest.parse(found.value());
 		if (manifest == null || !(ConfigurationReader.check("manifest", manifest.document(),
 				manifest.revision()) instanceof Checked.Valid valid)) {
-			problem("the manifest in the platform cannot be read");
+			printError("the manifest in the platform cannot be read");
 			return ExitCode.PARTIAL;
 		}
 		List<Map<String, Object>> rows = new ArrayList<>();
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
@@ -24,7 +24,7 @@
 		for (String entry : entries()) {
 			JsonNode upstreams = get(entry, "/upstreams");
 			if (upstreams == null) {
-				problem(entry + " did not answer");
+				printError(entry + " did not answer");
 				code = ExitCode.UNAVAILABLE;
 				continue;
 			}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
@@ -95,7 +95,7 @@
 		return parse(this.caller.call(Call.json("POST", entry, path, body, TIMEOUT_MS)));
 	}
 
-	static void problem(String sentence) {
+	static void printError(String sentence) {
 		System.err.println("whin: " + sentence);
 	}
 
