--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
@@ -53,7 +53,7 @@
 			hop.properties().forEach((field) -> row.put(field.getKey(), field.getValue().asString("")));
 			rows.add(row);
 		}
-		print(List.of("attempt", "upstream", "failure_domain", "layers", "steps", "millis", "end"), rows);
+		printRows(List.of("attempt", "upstream", "failure_domain", "layers", "steps", "millis", "end"), rows);
 	}
 
 }
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
@@ -45,10 +45,10 @@
 			read(account, file);
 		}
 		if (this.by.equals("request")) {
-			print(List.of("time", "request", "kind", "cause", "domain", "evidence"), requests(account));
+			printRows(List.of("time", "request", "kind", "cause", "domain", "evidence"), requests(account));
 		}
 		else {
-			print(List.of(this.by, "losses", "of-100-requests"), groups(account));
+			printRows(List.of(this.by, "losses", "of-100-requests"), groups(account));
 		}
 		return ExitCode.OK;
 	}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ServicesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ServicesCommand.java
@@ -35,7 +35,7 @@
 			rows.add(row(service));
 		}
 		rows.sort((left, right) -> left.get("name").toString().compareTo(right.get("name").toString()));
-		print(List.of("name", "kind", "detail"), rows);
+		printRows(List.of("name", "kind", "detail"), rows);
 		return ExitCode.OK;
 	}
 
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
@@ -36,7 +36,7 @@
 		if (!json()) {
 			System.out.println("accepted revision: " + accepted);
 		}
-		print(COLUMNS, rows);
+		printRows(COLUMNS, rows);
 		return all ? ExitCode.OK : ExitCode.PARTIAL;
 	}
 
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
@@ -36,7 +36,7 @@
 			}
 		}
 		rows.sort((left, right) -> (left.get("id").toString()).compareTo(right.get("id").toString()));
-		print(COLUMNS, rows);
+		printRows(COLUMNS, rows);
 		return code;
 	}
 
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
@@ -104,7 +104,7 @@
 	 * @param columns the columns' names
 	 * @param rows the rows
 	 */
-	void print(List<String> columns, List<Map<String, Object>> rows) {
+	void printRows(List<String> columns, List<Map<String, Object>> rows) {
 		if (json()) {
 			System.out.println(Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(rows));
 			return;
