--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
@@ -36,7 +36,7 @@
 	}
 
 	private void show(JsonNode decision) {
-		if (json()) {
+		if (jsonOutput()) {
 			System.out.println(Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(decision));
 			return;
 		}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
@@ -33,7 +33,7 @@
 			rows.add(row(entry, status));
 			all &= status != null && status.path("serving").asBoolean(false);
 		}
-		if (!json()) {
+		if (!jsonOutput()) {
 			System.out.println("accepted revision: " + accepted);
 		}
 		printRows(COLUMNS, rows);
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
@@ -77,7 +77,7 @@
 		return !this.entries.isEmpty();
 	}
 
-	boolean json() {
+	boolean jsonOutput() {
 		return this.output.equals("json");
 	}
 
@@ -105,7 +105,7 @@
 	 * @param rows the rows
 	 */
 	void printRows(List<String> columns, List<Map<String, Object>> rows) {
-		if (json()) {
+		if (jsonOutput()) {
 			System.out.println(Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(rows));
 			return;
 		}
