--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeEngine.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeEngine.java
@@ -175,7 +175,7 @@
 						: Long.parseUnsignedLong(input, 16);
 				for (int layer = step.range().first(); layer < step.range().end(); layer++) {
 					activation = ReferenceModel.layer(layer, activation, this.caches[layer]);
-					this.caches[layer] = ReferenceModel.remember(this.caches[layer], activation);
+					this.caches[layer] = ReferenceModel.updateCache(this.caches[layer], activation);
 				}
 				outputs.add(Long.toHexString(activation));
 			}
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/ReferenceModel.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/ReferenceModel.java
@@ -70,7 +70,7 @@
 			long activation = embed(input);
 			for (int layer = 0; layer < layerCount; layer++) {
 				activation = layer(layer, activation, caches[layer]);
-				caches[layer] = remember(caches[layer], activation);
+				caches[layer] = updateCache(caches[layer], activation);
 			}
 			input = token(activation);
 			tokens.add(input);
@@ -78,7 +78,7 @@
 		return tokens;
 	}
 
-	static long remember(long cache, long activation) {
+	static long updateCache(long cache, long activation) {
 		return mix(cache, activation);
 	}
 
