--- a/whinjunction-controller/src/test/java/io/whinjunction/controller/StoppingControllerTests.java
+++ b/whinjunction-controller/src/test/java/io/whinjunction/controller/StoppingControllerTests.java
@@ -56,7 +56,7 @@
 			for (int i = 0; i < 4; i++) {
 				HttpServer engine = closer
 					.register(HttpServer.start(HttpServerSettings.plain("127.0.0.1", 0), this::engine));
-				store.instance(
+				store.putInstance(
 						new Instance("spare-" + i, "whin-llm", "127.0.0.1:" + engine.port(), "poa-a", "kind-1", false));
 			}
 			HttpServer platform = closer
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
@@ -112,8 +112,8 @@
 		Instance dead = new Instance("booking-poa-a", "booking-api", "127.0.0.1:1", "poa-a", "", false);
 		Instance alsoDead = new Instance("booking-poa-b", "booking-api", "127.0.0.1:1", "poa-b", "", false);
 		List<Instance> before = List.of(instance("booking-poa-a"), instance("booking-poa-b"));
-		system.store().instance(dead);
-		system.store().instance(alsoDead);
+		system.store().putInstance(dead);
+		system.store().putInstance(alsoDead);
 		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/upstreams")
 			.body()
 			.split("127.0.0.1:1\"").length > 2);
@@ -121,7 +121,7 @@
 			assertThat(book(0, "pass-" + i, "pass-slot-" + i).status()).isEqualTo(201);
 			assertThat(system.booking().runs("pass-slot-" + i)).isEqualTo(1);
 		}
-		before.forEach(system.store()::instance);
+		before.forEach(system.store()::putInstance);
 	}
 
 	private static Instance instance(String id) {
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/LocalSystem.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/LocalSystem.java
@@ -94,12 +94,13 @@
 				});
 				this.engines.put(id, engine);
 				this.engineServers.put(id, server);
-				this.store.instance(new Instance(id, "whin-llm", address(server), domain, "kind-1", false));
+				this.store.putInstance(new Instance(id, "whin-llm", address(server), domain, "kind-1", false));
 			}
 		}
 		HttpServer server = serve(this.booking);
 		for (String domain : DOMAINS) {
-			this.store.instance(new Instance("booking-" + domain, "booking-api", address(server), domain, "", false));
+			this.store
+				.putInstance(new Instance("booking-" + domain, "booking-api", address(server), domain, "", false));
 		}
 		return this;
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/StoppingEntryTests.java
@@ -277,7 +277,7 @@
 	private static void offerInPlaceOfBookings(LocalSystem system, HttpServer server) {
 		String address = "127.0.0.1:" + server.port();
 		for (String domain : List.of("poa-a", "poa-b", "cxs-a")) {
-			system.store().instance(new Instance("booking-" + domain, "booking-api", address, domain, "", false));
+			system.store().putInstance(new Instance("booking-" + domain, "booking-api", address, domain, "", false));
 		}
 		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/upstreams")
 			.body()
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeObjectStore.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeObjectStore.java
@@ -44,7 +44,7 @@
 	 * Puts an instance on the list, or changes it.
 	 * @param instance the instance
 	 */
-	public synchronized void instance(Instance instance) {
+	public synchronized void putInstance(Instance instance) {
 		this.instances.put(instance.id(), instance);
 	}
 
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/PlatformServer.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/PlatformServer.java
@@ -74,7 +74,7 @@
 			return Reply.json(200, "{}");
 		}
 		JsonNode node = Json.MAPPER.readTree(request.body());
-		this.store.instance(new Instance(node.path("id").asString(""), node.path("service").asString(""),
+		this.store.putInstance(new Instance(node.path("id").asString(""), node.path("service").asString(""),
 				node.path("address").asString(""), node.path("failure-domain").asString(""),
 				node.path("accelerator-kind").asString(""), node.path("leaving").asBoolean(false)));
 		return Reply.json(200, "{}");
