--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/ClaimSweeper.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/ClaimSweeper.java
@@ -10,29 +10,32 @@
 import tools.jackson.core.JacksonException;
 
 /**
- * Clears claims of actions that are older than callers repeat them. Confined to one
- * thread.
+ * Removes action claims that are older than the period in which callers retry an action.
+ * Confined to one thread.
  */
 final class ClaimSweeper {
 
-	/** Removes at most so many a round, to leave the platform's writes to others. */
-	private static final int MOST_PER_ROUND = 50;
+	/**
+	 * Bounds the removals of one round, to leave the platform's write capacity to others.
+	 */
+	private static final int MAX_REMOVALS_PER_ROUND = 50;
 
 	private final ObjectStore store;
 
-	private final long keptS;
+	private final long retentionS;
 
 	private final LongSupplier epochS;
 
-	ClaimSweeper(ObjectStore store, long keptS, LongSupplier epochS) {
+	ClaimSweeper(ObjectStore store, long retentionS, LongSupplier epochS) {
 		this.store = store;
-		this.keptS = keptS;
+		this.retentionS = retentionS;
 		this.epochS = epochS;
 	}
 
 	/**
-	 * Clears some.
-	 * @return how many were removed
+	 * Runs one round, which removes at most {@value #MAX_REMOVALS_PER_ROUND} expired
+	 * claims.
+	 * @return the number of removals that were requested
 	 */
 	int sweep() {
 		if (!(this.store.list(ActionName.PREFIX) instanceof Listing.Objects found)) {
@@ -40,7 +43,7 @@
 		}
 		int removed = 0;
 		for (StoredObject object : found.objects()) {
-			if (removed < MOST_PER_ROUND && old(object)) {
+			if (removed < MAX_REMOVALS_PER_ROUND && expired(object)) {
 				this.store.remove(object.key(), object.version());
 				removed++;
 			}
@@ -48,10 +51,10 @@
 		return removed;
 	}
 
-	private boolean old(StoredObject object) {
+	private boolean expired(StoredObject object) {
 		try {
 			long createdAtS = Json.MAPPER.readTree(object.value()).path("created-at-s").asLong(Long.MAX_VALUE);
-			return this.epochS.getAsLong() - this.keptS > createdAtS;
+			return this.epochS.getAsLong() - this.retentionS > createdAtS;
 		}
 		catch (JacksonException ex) {
 			return false;
--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/Controller.java
@@ -32,11 +32,12 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * One candidate for giving orders to engines. It is never on a request's path.
+ * A controller: one candidate for the lease under which orders are issued to engines. It
+ * is never on the path of a request.
  * <p>
- * Invariant: an order is given only while the lease is held by this process's own clock,
- * and none after {@link #close()}; it carries the lease's fencing number. The loop is one
- * thread; the operators' port only reads.
+ * Invariant: an order is issued only while this process holds the lease according to its
+ * own clock, and never after {@link #close()}. Each order carries the fencing number of
+ * the lease. Planning and issuing run on one thread; the operator port only reads state.
  */
 public final class Controller implements AutoCloseable {
 
@@ -48,7 +49,7 @@
 
 	private static final int IDLE_CONNECTION_MS = 10_000;
 
-	private static final long SWEEP_EVERY_MS = 60_000;
+	private static final long SWEEP_INTERVAL_MS = 60_000;
 
 	private final ControllerSettings settings;
 
@@ -68,13 +69,13 @@
 
 	private final Thread loop;
 
-	private long sweptAtMs;
+	private long lastSweepMs;
 
 	private volatile boolean closed;
 
 	/**
-	 * Starts a candidate.
-	 * @param settings its settings
+	 * Starts the controller.
+	 * @param settings the settings
 	 */
 	public Controller(ControllerSettings settings) {
 		this.settings = settings;
@@ -84,8 +85,8 @@
 		this.lease = new LeaseKeeper(this.store, LEASE_KEY, settings.id(), settings.leaseMs(), this.ticker,
 				() -> UUID.randomUUID().toString());
 		this.sweeper = new ClaimSweeper(this.store, settings.claimsKeptS(), () -> System.currentTimeMillis() / 1000);
-		this.closer.register(
-				HttpServer.start(HttpServerSettings.plain(settings.host(), settings.operatorPort()), this::operators));
+		this.closer.register(HttpServer.start(HttpServerSettings.plain(settings.host(), settings.operatorPort()),
+				this::handleOperatorRequest));
 		this.loop = Thread.ofPlatform().name("whin-controller").start(this::run);
 	}
 
@@ -113,22 +114,22 @@
 				return;
 			}
 			catch (RuntimeException ex) {
-				logger.atSevere().withCause(ex).log("a round failed and the next one follows");
+				logger.atSevere().withCause(ex).log("control round failed; starting the next round");
 			}
 		}
 	}
 
 	private void step() {
-		boolean held = this.lease.holds();
+		boolean heldBefore = this.lease.holds();
 		this.lease.step();
-		if (this.lease.holds() != held) {
+		if (this.lease.holds() != heldBefore) {
 			logger.atInfo()
 				.log("controller %s %s the lease, fencing %d", this.settings.id(),
 						this.lease.holds() ? "holds" : "lost", this.lease.fencing());
 		}
 		if (this.lease.holds()) {
 			readConfiguration();
-			order();
+			issueOrders();
 			sweep();
 		}
 	}
@@ -142,9 +143,10 @@
 		}
 	}
 
-	private void order() {
+	private void issueOrders() {
 		if (!(this.store.instances() instanceof Instances.Listed listed)) {
-			// Without the list nothing can be planned; what runs goes on.
+			// Without the list of instances nothing can be planned; engines keep their
+			// layers.
 			return;
 		}
 		List<Upstream> upstreams = new ArrayList<>();
@@ -164,33 +166,34 @@
 		}
 		for (Move move : PlacementPlanner.plan(this.configuration.configuration(), upstreams,
 				this.settings.loadsAtOnce(), loading)) {
-			give(move);
+			issueOrder(move);
 		}
 	}
 
-	private void give(Move move) {
+	private void issueOrder(Move move) {
 		Upstream upstream = move.upstream();
-		// Asked at the last moment: the calls before may have outlasted the lease, and a
-		// stop interrupts them. An order sent then would be read by nobody, and logged as
-		// not taken while the engine drops its caches for it.
+		// Checked immediately before sending: the lease may have expired during the calls
+		// before, and a stop interrupts them. Nobody would read the reply to an order
+		// sent then: it would be logged as not accepted although the engine drops its
+		// caches.
 		if (this.closed || !this.lease.holds()) {
 			return;
 		}
-		boolean taken = this.engines.order(upstream.address(),
+		boolean accepted = this.engines.order(upstream.address(),
 				new LoadOrder(upstream.service(), move.range(), upstream.generation(), this.lease.fencing()));
 		logger.atInfo()
 			.log("ordered %s to hold layers %s, fencing %d: %s", upstream.id(), move.range(), this.lease.fencing(),
-					taken ? "taken" : "refused or not answered");
+					accepted ? "accepted" : "refused or not answered");
 	}
 
 	private void sweep() {
-		if (this.ticker.nowMs() - this.sweptAtMs >= SWEEP_EVERY_MS) {
-			this.sweptAtMs = this.ticker.nowMs();
+		if (this.ticker.nowMs() - this.lastSweepMs >= SWEEP_INTERVAL_MS) {
+			this.lastSweepMs = this.ticker.nowMs();
 			this.sweeper.sweep();
 		}
 	}
 
-	private void operators(Exchange exchange) {
+	private void handleOperatorRequest(Exchange exchange) {
 		switch (exchange.request().path()) {
 			case "/healthz", "/readyz" -> exchange.reply(Reply.text(200, "ok\n"));
 			case "/status" -> {
--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/ControllerMain.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/ControllerMain.java
@@ -14,10 +14,10 @@
 import io.whinjunction.log.Logs;
 
 /**
- * The {@code whin-controller} program. Exit codes: 0 stopped, 2 the settings or arguments
- * are wrong.
+ * The {@code whin-controller} program. Exit codes: 0 stopped, 2 invalid settings or
+ * arguments.
  */
-@Command(name = "whin-controller", description = "A candidate for giving orders to engines")
+@Command(name = "whin-controller", description = "Runs a controller, a candidate for issuing orders to engines")
 public final class ControllerMain {
 
 	private static final int USAGE = 2;
@@ -28,7 +28,7 @@
 
 	/**
 	 * Runs the controller until SIGTERM.
-	 * @param args the arguments
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		Logs.initialize();
--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/ControllerSettings.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/ControllerSettings.java
@@ -10,17 +10,17 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * A controller's own settings, from one TOML file. Immutable.
+ * The settings of a controller, read from one TOML file. Immutable.
  *
- * @param id this instance's name
+ * @param id the name of this instance
  * @param host the address to bind
- * @param operatorPort for operators; 0 for any
- * @param platform the object API, {@code HOST:PORT}
- * @param platformMs limit of a platform call, in milliseconds
+ * @param operatorPort the port for operators; 0 for any free port
+ * @param platform the address of the platform's object API, {@code HOST:PORT}
+ * @param platformMs the time limit of a call to the platform, in milliseconds
  * @param leaseMs the lease's time to live, in milliseconds
- * @param periodMs how often it plans, in milliseconds
- * @param loadsAtOnce how many engines may read weights at once
- * @param claimsKeptS how long claims of actions are kept, in seconds
+ * @param periodMs the planning period, in milliseconds
+ * @param loadsAtOnce how many engines may load weights at the same time
+ * @param claimsKeptS the retention period of action claims, in seconds
  */
 public record ControllerSettings(String id, String host, int operatorPort, String platform, int platformMs, int leaseMs,
 		int periodMs, int loadsAtOnce, int claimsKeptS) {
@@ -32,8 +32,9 @@
 	/**
 	 * Reads and checks a settings file.
 	 * @param file the file
-	 * @param problems where faults go
-	 * @return the settings; good only where there was no fault
+	 * @param problems receives the faults found
+	 * @return the settings, valid only if no fault was added; {@code null} if the file is
+	 * not readable TOML
 	 */
 	static ControllerSettings read(Path file, List<Problem> problems) {
 		JsonNode tree = ConfigurationReader.readToml(file, problems);
--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/package-info.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One candidate for giving orders to engines.
+ * The controller, which issues orders to engines while it holds the lease.
  */
 package io.whinjunction.controller;
--- a/whinjunction-controller/src/test/java/io/whinjunction/controller/ClaimSweeperTests.java
+++ b/whinjunction-controller/src/test/java/io/whinjunction/controller/ClaimSweeperTests.java
@@ -15,32 +15,32 @@
  */
 class ClaimSweeperTests {
 
-	private static final long KEPT_S = 3600;
+	private static final long RETENTION_S = 3600;
 
 	private final FakeObjectStore store = new FakeObjectStore();
 
 	private final AtomicLong epochS = new AtomicLong(1000);
 
-	private final ClaimSweeper sweeper = new ClaimSweeper(this.store, KEPT_S, this.epochS::get);
+	private final ClaimSweeper sweeper = new ClaimSweeper(this.store, RETENTION_S, this.epochS::get);
 
 	@Test
-	void onlyClaimsOlderThanTheirTimeAreRemoved() {
-		ActionName old = new ActionName("t", "s", "old");
-		ActionName young = new ActionName("t", "s", "young");
+	void onlyClaimsOlderThanTheRetentionPeriodAreRemoved() {
+		ActionName expired = new ActionName("t", "s", "old");
+		ActionName recent = new ActionName("t", "s", "young");
 		ActionClaims claims = new ActionClaims(this.store, () -> "n", this.epochS::get);
-		claims.claim(old, "h");
-		this.epochS.addAndGet(KEPT_S);
-		claims.claim(young, "h");
+		claims.claim(expired, "h");
+		this.epochS.addAndGet(RETENTION_S);
+		claims.claim(recent, "h");
 		assertThat(this.sweeper.sweep()).isZero();
 		this.epochS.incrementAndGet();
 		assertThat(this.sweeper.sweep()).isEqualTo(1);
-		assertThat(this.store.read(old.objectKey())).isInstanceOf(Read.Absent.class);
-		assertThat(this.store.read(young.objectKey())).isInstanceOf(Read.Found.class);
+		assertThat(this.store.read(expired.objectKey())).isInstanceOf(Read.Absent.class);
+		assertThat(this.store.read(recent.objectKey())).isInstanceOf(Read.Found.class);
 	}
 
-	// A claim that cannot be read may guard an action: it stays.
+	// An unreadable claim may still guard an action, so it must not be removed.
 	@Test
-	void anUnreadableClaimStays() {
+	void anUnreadableClaimIsKept() {
 		this.store.write(ActionName.PREFIX + "t/s/x", "{", 0);
 		this.epochS.set(Long.MAX_VALUE / 2);
 		assertThat(this.sweeper.sweep()).isZero();
--- a/whinjunction-controller/src/test/java/io/whinjunction/controller/StoppingControllerTests.java
+++ b/whinjunction-controller/src/test/java/io/whinjunction/controller/StoppingControllerTests.java
@@ -21,7 +21,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a controller still does when it is told to stop.
+ * Tests for {@link Controller#close()} while orders are being issued.
  */
 class StoppingControllerTests {
 
@@ -35,27 +35,28 @@
 			layer-ranges = ["0-4", "4-8", "8-12", "12-16"]
 			""";
 
-	private static final String SPARE = """
+	private static final String SPARE_REPORT = """
 			{"service":"whin-llm","range":"","generation":1,"fencing":0,"running":0,"tokens-per-second":1}""";
 
-	private static final long SLOW_MS = 500;
+	private static final long ORDER_REPLY_DELAY_MS = 500;
 
 	private final AtomicInteger orders = new AtomicInteger();
 
-	private final CountDownLatch ordered = new CountDownLatch(1);
+	private final CountDownLatch firstOrderReceived = new CountDownLatch(1);
 
-	// Four spares get an order each, one after the other. The controller is told to stop
-	// while the first one answers. The other three must not be sent: an engine that acts
-	// on an order whose sender has gone drops its caches without anyone who waits for it.
+	// Four spare engines are ordered one after the other, and the controller is closed
+	// while the first is answering. Guards against the other three orders being sent: an
+	// engine that acts on an order of a stopped controller drops its caches although
+	// nobody reads its reply.
 	@Test
-	void aControllerThatStopsGivesNoFurtherOrder() throws InterruptedException {
+	void aClosedControllerIssuesNoFurtherOrder() throws InterruptedException {
 		try (Closer closer = new Closer()) {
 			FakeObjectStore store = new FakeObjectStore();
 			ObjectNode document = (ObjectNode) new TomlMapper().readTree(CONFIGURATION);
 			store.write(Manifest.KEY, new Manifest(1, document, "n").toJson(), ObjectStore.ABSENT);
 			for (int i = 0; i < 4; i++) {
 				HttpServer engine = closer
-					.register(HttpServer.start(HttpServerSettings.plain("127.0.0.1", 0), this::engine));
+					.register(HttpServer.start(HttpServerSettings.plain("127.0.0.1", 0), this::handleEngineRequest));
 				store.putInstance(
 						new Instance("spare-" + i, "whin-llm", "127.0.0.1:" + engine.port(), "poa-a", "kind-1", false));
 			}
@@ -63,22 +64,22 @@
 				.register(HttpServer.start(HttpServerSettings.plain("127.0.0.1", 0), new PlatformServer(store)));
 			Controller controller = new Controller(new ControllerSettings("c", "127.0.0.1", 0,
 					"127.0.0.1:" + platform.port(), 1000, 5000, 100, 4, 60));
-			assertThat(this.ordered.await(20, TimeUnit.SECONDS)).isTrue();
+			assertThat(this.firstOrderReceived.await(20, TimeUnit.SECONDS)).isTrue();
 			controller.close();
-			Thread.sleep(SLOW_MS);
+			Thread.sleep(ORDER_REPLY_DELAY_MS);
 			assertThat(this.orders).hasValue(1);
 		}
 	}
 
-	private void engine(Exchange exchange) throws InterruptedException {
+	private void handleEngineRequest(Exchange exchange) throws InterruptedException {
 		if (exchange.request().path().equals("/orders")) {
 			this.orders.incrementAndGet();
-			this.ordered.countDown();
-			Thread.sleep(SLOW_MS);
+			this.firstOrderReceived.countDown();
+			Thread.sleep(ORDER_REPLY_DELAY_MS);
 			exchange.reply(Reply.json(200, "{}"));
 		}
 		else {
-			exchange.reply(Reply.json(200, SPARE));
+			exchange.reply(Reply.json(200, SPARE_REPORT));
 		}
 	}
 
