--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ApplyCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ApplyCommand.java
@@ -15,23 +15,24 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * Applies files: accepted once the platform has the new revision, in force once every
- * entry says so.
+ * Applies configuration files. A change is accepted once the platform has stored the new
+ * revision, and in force once every given entry reports it.
  */
 @Command(name = "apply",
 		description = "Applies a base file with its overlays and waits until it is in force; " + ExitCode.HELP)
 public final class ApplyCommand extends FilesCommand {
 
-	private static final long LOOK_EVERY_MS = 100;
+	private static final long POLL_INTERVAL_MS = 100;
 
 	@Option(name = "--expect-revision", title = "N",
-			description = "Apply only where this is the revision now; default: the one found")
+			description = "Apply only if this is the current revision; default: the one read at the start")
 	private long expectRevision = -1;
 
-	@Option(name = "--wait-ms", title = "MS", description = "How long to wait until it is in force; default 8000")
+	@Option(name = "--wait-ms", title = "MS",
+			description = "How long to wait until the revision is in force; default 8000")
 	private int waitMs = 8000;
 
-	@Option(name = "--force", description = "Apply though less than half of the entries confirm their configuration")
+	@Option(name = "--force", description = "Apply even if at most half of the entries confirm their configuration")
 	private boolean force;
 
 	@Override
@@ -41,8 +42,8 @@
 			return ExitCode.USAGE;
 		}
 		if (!this.force && hasEntries() && !majorityConfirms()) {
-			printError("at most half of the entries confirm their configuration; a change might not be in force "
-					+ "everywhere in time. Nothing was changed; --force applies all the same.");
+			printError("at most half of the entries confirm their configuration, so a change might not be in force "
+					+ "everywhere in time; nothing was changed. Use --force to apply it anyway.");
 			return ExitCode.UNAVAILABLE;
 		}
 		ObjectStore store = store();
@@ -52,15 +53,15 @@
 			return ExitCode.UNAVAILABLE;
 		}
 		long version = (read instanceof Read.Found found) ? found.version() : ObjectStore.ABSENT;
-		Manifest old = (read instanceof Read.Found found) ? Manifest.parse(found.value()) : null;
-		long revision = (old != null) ? old.revision() : 0;
+		Manifest current = (read instanceof Read.Found found) ? Manifest.parse(found.value()) : null;
+		long revision = (current != null) ? current.revision() : 0;
 		if (this.expectRevision >= 0 && this.expectRevision != revision) {
 			printError("the revision is " + revision + ", not " + this.expectRevision + "; nothing was changed");
 			return ExitCode.CONFLICT;
 		}
-		if (old != null && old.document().equals(valid.document())) {
+		if (current != null && current.document().equals(valid.document())) {
 			System.out.println("unchanged: revision " + revision);
-			return awaitInForce(old);
+			return awaitInForce(current);
 		}
 		Manifest manifest = new Manifest(revision + 1, valid.document(), UUID.randomUUID().toString());
 		return switch (store.write(Manifest.KEY, manifest.toJson(), version)) {
@@ -70,19 +71,20 @@
 		};
 	}
 
-	// The reply was lost: the nonce tells whose write stands there.
+	// The reply to the write was lost. The nonce shows whether the stored manifest is
+	// this one or another operator's.
 	private ExitCode readBack(ObjectStore store, Manifest manifest, Write.Uncertain uncertain) {
 		Read read = store.read(Manifest.KEY);
 		if (read instanceof Read.Found found) {
-			Manifest present = Manifest.parse(found.value());
-			if (present != null && present.nonce().equals(manifest.nonce())) {
+			Manifest stored = Manifest.parse(found.value());
+			if (stored != null && stored.nonce().equals(manifest.nonce())) {
 				return accepted(manifest);
 			}
-			if (present != null && present.revision() >= manifest.revision()) {
+			if (stored != null && stored.revision() >= manifest.revision()) {
 				return conflict();
 			}
 		}
-		printError("whether the change was accepted is not known (" + uncertain.reason() + "); run 'whin status'");
+		printError("cannot determine whether the change was accepted (" + uncertain.reason() + "); run 'whin status'");
 		return ExitCode.UNAVAILABLE;
 	}
 
@@ -98,23 +100,23 @@
 
 	private ExitCode awaitInForce(Manifest manifest) {
 		if (!hasEntries()) {
-			System.out.println("no --entry was given, so whether it is in force was not asked");
+			System.out.println("no --entry was given, so whether the revision is in force was not checked");
 			return ExitCode.OK;
 		}
-		Set<String> missing = new LinkedHashSet<>(entries());
-		// Told directly too, so that entries that the platform cannot reach have it.
-		missing.forEach((entry) -> post(entry, "/manifest", manifest.toJson()));
+		Set<String> pending = new LinkedHashSet<>(entries());
+		// Sent directly as well, for entries that are cut off from the platform.
+		pending.forEach((entry) -> post(entry, "/manifest", manifest.toJson()));
 		long endMs = System.nanoTime() / 1_000_000 + this.waitMs;
-		while (!missing.isEmpty() && System.nanoTime() / 1_000_000 < endMs) {
-			missing.removeIf((entry) -> inForce(entry, manifest.revision()));
+		while (!pending.isEmpty() && System.nanoTime() / 1_000_000 < endMs) {
+			pending.removeIf((entry) -> inForce(entry, manifest.revision()));
 			pause();
 		}
-		if (missing.isEmpty()) {
+		if (pending.isEmpty()) {
 			System.out.println("in force: revision " + manifest.revision() + " on " + entries().size() + " entries");
 			return ExitCode.OK;
 		}
-		printError("accepted, but not known to be in force on: " + String.join(", ", missing)
-				+ "; an entry that cannot confirm its configuration refuses requests by itself");
+		printError("accepted, but not confirmed to be in force on: " + String.join(", ", pending)
+				+ "; an entry that cannot confirm its configuration refuses requests on its own");
 		return ExitCode.PARTIAL;
 	}
 
@@ -124,20 +126,20 @@
 	}
 
 	private boolean majorityConfirms() {
-		List<String> all = entries();
-		long confirming = all.stream().filter(this::confirms).count();
-		return confirming * 2 > all.size();
+		List<String> entries = entries();
+		long confirming = entries.stream().filter(this::confirms).count();
+		return confirming * 2 > entries.size();
 	}
 
 	private boolean confirms(String entry) {
 		JsonNode status = get(entry, "/status");
-		// An entry without any configuration yet is open for the first one.
+		// An entry that has no configuration yet accepts the first one, so it counts too.
 		return status != null && (status.path("serving").asBoolean(false) || status.path("revision").asLong(0) == 0);
 	}
 
 	private static void pause() {
 		try {
-			Thread.sleep(LOOK_EVERY_MS);
+			Thread.sleep(POLL_INTERVAL_MS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/CheckCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/CheckCommand.java
@@ -4,9 +4,9 @@
 import io.whinjunction.configuration.ConfigurationReader.Checked;
 
 /**
- * Checks files offline.
+ * Checks configuration files offline.
  */
-@Command(name = "check", description = "Checks a base file with its overlays, offline")
+@Command(name = "check", description = "Checks a base file with its overlays offline")
 public final class CheckCommand extends FilesCommand {
 
 	@Override
@@ -15,7 +15,7 @@
 		if (valid == null) {
 			return ExitCode.USAGE;
 		}
-		System.out.println("in order: " + valid.configuration().places().size() + " places, "
+		System.out.println("valid: " + valid.configuration().places().size() + " places, "
 				+ valid.configuration().services().size() + " services, " + valid.configuration().teams().size()
 				+ " teams");
 		return ExitCode.OK;
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/DiffCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/DiffCommand.java
@@ -9,7 +9,7 @@
 import io.whinjunction.platform.ObjectStore.Read;
 
 /**
- * Shows what applying files would change.
+ * Shows what applying configuration files would change.
  */
 @Command(name = "diff", description = "Shows what applying the files would change; " + ExitCode.HELP)
 public final class DiffCommand extends FilesCommand {
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/DrainCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/DrainCommand.java
@@ -6,7 +6,8 @@
  * Stops entries gracefully.
  */
 @Command(name = "drain",
-		description = "Stops the given entries: not ready, in-progress requests end, then exit; " + ExitCode.HELP)
+		description = "Stops the given entries gracefully: they report not ready, finish the requests in progress "
+				+ "and exit; " + ExitCode.HELP)
 public final class DrainCommand extends WhinCommand {
 
 	@Override
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ExitCode.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ExitCode.java
@@ -5,19 +5,21 @@
  */
 enum ExitCode {
 
-	/** Done. */
+	/** Success. */
 	OK(0),
-	/** Done, but not everywhere: accepted, not in force in time; or the answer is no. */
+	/**
+	 * Partial success, such as accepted but not in force in time; or a negative result.
+	 */
 	PARTIAL(1),
-	/** The arguments or a file are wrong. */
+	/** The arguments or a file are invalid. */
 	USAGE(2),
 	/** Another operator's change was accepted first. */
 	CONFLICT(3),
 	/** The platform or an entry did not answer. */
 	UNAVAILABLE(4);
 
-	static final String HELP = "Exit codes: 0 done; 1 done in part, or the answer is no; "
-			+ "2 wrong arguments or files; 3 another operator's change came first; "
+	static final String HELP = "Exit codes: 0 success; 1 partial success, or a negative result; "
+			+ "2 invalid arguments or files; 3 another operator's change was accepted first; "
 			+ "4 the platform or an entry did not answer.";
 
 	private final int code;
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ExplainCommand.java
@@ -11,18 +11,18 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * Tells why a request went where it went, or why it was refused.
+ * Explains how a request was routed, or why it was refused.
  */
-@Command(name = "explain", description = "Tells why a request went where it went or was refused; " + ExitCode.HELP)
+@Command(name = "explain", description = "Explains how a request was routed or why it was refused; " + ExitCode.HELP)
 public final class ExplainCommand extends WhinCommand {
 
-	@Arguments(title = "REQUEST-ID", description = "The whin-request-id of the answer")
+	@Arguments(title = "REQUEST-ID", description = "The whin-request-id of the response")
 	private String requestId;
 
 	@Override
 	ExitCode execute() {
 		if (this.requestId == null) {
-			throw new UsageException("the whin-request-id of an answer is needed");
+			throw new UsageException("the whin-request-id of a response is needed");
 		}
 		for (String entry : entries()) {
 			JsonNode decision = get(entry, "/explain/" + this.requestId);
@@ -31,7 +31,7 @@
 				return ExitCode.OK;
 			}
 		}
-		printError("none of the entries remembers '" + this.requestId + "'; each keeps its newest 2048 requests");
+		printError("no entry has a record of request '" + this.requestId + "'; each keeps its latest 2048 requests");
 		return ExitCode.PARTIAL;
 	}
 
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/FilesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/FilesCommand.java
@@ -10,23 +10,23 @@
 import io.whinjunction.configuration.ConfigurationReader.Checked;
 
 /**
- * A command that reads a base file and overlays.
+ * Base class of commands that read a base file and overlays.
  */
 abstract class FilesCommand extends WhinCommand {
 
 	@Arguments(title = "BASE", description = "The base file")
 	private String base;
 
-	@Option(name = "--overlay", title = "FILE", description = "A site's overlay; may be given several times")
+	@Option(name = "--overlay", title = "FILE", description = "The overlay file of a site; may be given several times")
 	private List<String> overlays = new ArrayList<>();
 
 	/**
-	 * Reads and checks the files; prints every fault.
-	 * @return what they say, or {@code null} where there is a fault
+	 * Reads and checks the files, and prints every fault.
+	 * @return the checked configuration, or {@code null} if there is a fault
 	 */
 	Checked.Valid readFiles() {
 		if (this.base == null) {
-			throw new UsageException("the base file is needed");
+			throw new UsageException("a base file is needed");
 		}
 		Checked checked = ConfigurationReader.readFiles(Path.of(this.base),
 				this.overlays.stream().map(Path::of).toList());
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
@@ -19,26 +19,30 @@
 import io.whinjunction.loss.LossAccount;
 
 /**
- * Tells from routers' logs which requests were not on time, and why: the morning after,
- * without asking any process.
+ * Reports from router logs which requests were not served on time, and why. It contacts
+ * no process, so that an incident can be analysed from its logs alone.
  */
-@Command(name = "losses", description = "Tells from routers' logs why requests were not on time; " + ExitCode.HELP)
+@Command(name = "losses",
+		description = "Reports from router logs why requests were not served on time; " + ExitCode.HELP)
 public final class LossesCommand extends WhinCommand {
 
-	/** Up to the second of a time such as {@code 2026-05-14T17:15:00.213Z}. */
-	private static final int SECOND_LENGTH = 19;
+	/**
+	 * The length of a timestamp such as {@code 2026-05-14T17:15:00.213Z} up to seconds.
+	 */
+	private static final int TIMESTAMP_SECONDS_LENGTH = 19;
 
-	@Arguments(title = "FILE", description = "Logs of routers, one or more")
+	@Arguments(title = "FILE", description = "One or more router logs")
 	private List<String> files = new ArrayList<>();
 
-	@Option(name = "--by", title = "GROUP", description = "cause, kind, domain, second or request; default cause")
+	@Option(name = "--by", title = "GROUP",
+			description = "Group by cause, kind, domain, second or request; default cause")
 	@AllowedRawValues(allowedValues = { "cause", "kind", "domain", "second", "request" })
 	private String by = "cause";
 
 	@Override
 	ExitCode execute() {
 		if (this.files.isEmpty()) {
-			throw new UsageException("a router's log is needed: whin losses FILE...");
+			throw new UsageException("at least one router log is needed: whin losses FILE...");
 		}
 		LossAccount account = new LossAccount();
 		for (String file : this.files) {
@@ -58,7 +62,7 @@
 			lines.forEach(account::read);
 		}
 		catch (IOException ex) {
-			throw new UsageException(file + " can't be read: " + ex.getMessage());
+			throw new UsageException("cannot read " + file + ": " + ex.getMessage());
 		}
 	}
 
@@ -98,7 +102,8 @@
 		return switch (this.by) {
 			case "kind" -> Loss::kind;
 			case "domain" -> Loss::domain;
-			case "second" -> (loss) -> loss.time().substring(0, Math.min(SECOND_LENGTH, loss.time().length()));
+			case "second" ->
+				(loss) -> loss.time().substring(0, Math.min(TIMESTAMP_SECONDS_LENGTH, loss.time().length()));
 			default -> (loss) -> loss.cause().name();
 		};
 	}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/ServicesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/ServicesCommand.java
@@ -27,7 +27,7 @@
 		Manifest manifest = Manifest.parse(found.value());
 		if (manifest == null || !(ConfigurationReader.check("manifest", manifest.document(),
 				manifest.revision()) instanceof Checked.Valid valid)) {
-			printError("the manifest in the platform cannot be read");
+			printError("the manifest in the platform is unreadable or invalid");
 			return ExitCode.PARTIAL;
 		}
 		List<Map<String, Object>> rows = new ArrayList<>();
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/StatusCommand.java
@@ -11,9 +11,10 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * Shows what is accepted and what is in force, by entry.
+ * Shows the accepted revision and, for each entry, the revision in force.
  */
-@Command(name = "status", description = "Shows the accepted revision and, by entry, the one in force; " + ExitCode.HELP)
+@Command(name = "status",
+		description = "Shows the accepted revision and, per entry, the one in force; " + ExitCode.HELP)
 public final class StatusCommand extends WhinCommand {
 
 	private static final List<String> COLUMNS = List.of("entry", "id", "revision", "confirmed", "serving", "stopping",
@@ -27,17 +28,17 @@
 			case Read.Unavailable unavailable -> "unknown, the platform did not answer: " + unavailable.reason();
 		};
 		List<Map<String, Object>> rows = new ArrayList<>();
-		boolean all = true;
+		boolean allServing = true;
 		for (String entry : entries()) {
 			JsonNode status = get(entry, "/status");
 			rows.add(row(entry, status));
-			all &= status != null && status.path("serving").asBoolean(false);
+			allServing &= status != null && status.path("serving").asBoolean(false);
 		}
 		if (!jsonOutput()) {
 			System.out.println("accepted revision: " + accepted);
 		}
 		printRows(COLUMNS, rows);
-		return all ? ExitCode.OK : ExitCode.PARTIAL;
+		return allServing ? ExitCode.OK : ExitCode.PARTIAL;
 	}
 
 	private static String revision(Read.Found found) {
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
@@ -9,9 +9,9 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * Lists upstreams as an entry sees them.
+ * Lists the upstreams known to each entry.
  */
-@Command(name = "upstreams", description = "Lists upstreams as the given entries see them; " + ExitCode.HELP)
+@Command(name = "upstreams", description = "Lists the upstreams known to the given entries; " + ExitCode.HELP)
 public final class UpstreamsCommand extends WhinCommand {
 
 	private static final List<String> COLUMNS = List.of("entry", "id", "service", "failure_domain", "layers",
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinCommand.java
@@ -17,8 +17,8 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * What all commands share: the way to the platform and to entries, and the output.
- * Confined to one thread.
+ * Base class of all commands: access to the platform and to entries, and output. Confined
+ * to one thread.
  */
 abstract class WhinCommand implements Runnable {
 
@@ -26,14 +26,14 @@
 
 	private static final long TIMEOUT_MS = 2000;
 
-	@Option(name = "--platform", title = "HOST:PORT", description = "The platform's object API")
+	@Option(name = "--platform", title = "HOST:PORT", description = "The address of the platform's object API")
 	private String platform;
 
 	@Option(name = "--entry", title = "HOST:PORT",
-			description = "An entry's operators' port; may be given several times")
+			description = "The operator port of an entry; may be given several times")
 	private List<String> entries = new ArrayList<>();
 
-	@Option(name = "--output", title = "FORMAT", description = "table or json; default table")
+	@Option(name = "--output", title = "FORMAT", description = "Output format, table or json; default table")
 	@AllowedRawValues(allowedValues = { "table", "json" })
 	private String output = "table";
 
@@ -43,8 +43,8 @@
 
 	@Override
 	public final void run() {
-		try (HttpCaller opened = new HttpCaller(CONNECT_MS, CONNECT_MS)) {
-			this.caller = opened;
+		try (HttpCaller newCaller = new HttpCaller(CONNECT_MS, CONNECT_MS)) {
+			this.caller = newCaller;
 			this.exitCode = execute();
 		}
 		catch (UsageException ex) {
@@ -82,10 +82,10 @@
 	}
 
 	/**
-	 * Asks an entry.
-	 * @param entry its operators' port
-	 * @param path what to ask
-	 * @return its answer, or {@code null} where there was none
+	 * Sends a GET request to an entry.
+	 * @param entry the entry's operator port, {@code HOST:PORT}
+	 * @param path the path
+	 * @return the parsed body, or {@code null} without a successful JSON response
 	 */
 	JsonNode get(String entry, String path) {
 		return parse(this.caller.call(Call.fetch(entry, path, TIMEOUT_MS)));
@@ -95,14 +95,14 @@
 		return parse(this.caller.call(Call.json("POST", entry, path, body, TIMEOUT_MS)));
 	}
 
-	static void printError(String sentence) {
-		System.err.println("whin: " + sentence);
+	static void printError(String message) {
+		System.err.println("whin: " + message);
 	}
 
 	/**
-	 * Prints rows.
-	 * @param columns the columns' names
-	 * @param rows the rows
+	 * Prints rows as a table, or as JSON if this is the output format.
+	 * @param columns the column names, in order
+	 * @param rows the values by column name
 	 */
 	void printRows(List<String> columns, List<Map<String, Object>> rows) {
 		if (jsonOutput()) {
@@ -150,7 +150,7 @@
 	}
 
 	/**
-	 * The arguments do not suffice.
+	 * Thrown if a required argument is missing or a given file cannot be read.
 	 */
 	static final class UsageException extends RuntimeException {
 
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinMain.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/WhinMain.java
@@ -6,7 +6,7 @@
 import io.whinjunction.log.Logs;
 
 /**
- * The operators' {@code whin} program.
+ * The {@code whin} program for operators.
  */
 @Cli(name = "whin", description = "Checks, applies and explains the configuration of whinjunction",
 		defaultCommand = Help.class,
@@ -20,7 +20,7 @@
 
 	/**
 	 * Runs one command and exits with its code.
-	 * @param args the arguments
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		Logs.initialize();
@@ -37,7 +37,7 @@
 			return ExitCode.USAGE.code();
 		}
 		command.run();
-		return (command instanceof WhinCommand known) ? known.exitCode().code() : ExitCode.OK.code();
+		return (command instanceof WhinCommand whinCommand) ? whinCommand.exitCode().code() : ExitCode.OK.code();
 	}
 
 }
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/package-info.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The operators' command line.
+ * The command line for operators.
  */
 package io.whinjunction.cli;
--- a/whinjunction-cli/src/test/java/io/whinjunction/cli/WhinMainTests.java
+++ b/whinjunction-cli/src/test/java/io/whinjunction/cli/WhinMainTests.java
@@ -22,7 +22,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link WhinMain}: exit codes, messages, and operators who race.
+ * Tests for {@link WhinMain}: exit codes, messages and concurrent changes by operators.
  */
 class WhinMainTests {
 
@@ -34,9 +34,9 @@
 
 	private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-	private final PrintStream realOut = System.out;
+	private final PrintStream originalOut = System.out;
 
-	private final PrintStream realErr = System.err;
+	private final PrintStream originalErr = System.err;
 
 	private HttpServer platform;
 
@@ -52,13 +52,13 @@
 
 	@AfterEach
 	void stop() {
-		System.setOut(this.realOut);
-		System.setErr(this.realErr);
+		System.setOut(this.originalOut);
+		System.setErr(this.originalErr);
 		this.platform.close();
 	}
 
 	@Test
-	void checkNamesTheFileTheKeyTheBadValueAndTheNearestMatch() throws IOException {
+	void checkReportsTheFileTheKeyTheFaultAndTheNearestMatch() throws IOException {
 		String file = file("bad.toml", PLACE.replace("region", "regoin"));
 		assertThat(WhinMain.run("check", file)).isEqualTo(2);
 		assertThat(this.err.toString()).contains("bad.toml: places.poa.regoin: is not known; did you mean 'region'?")
@@ -66,7 +66,7 @@
 	}
 
 	@Test
-	void checkCountsWhatIsInOrder() throws IOException {
+	void checkCountsTheSectionsOfAValidFile() throws IOException {
 		assertThat(WhinMain.run("check", file("good.toml", PLACE))).isZero();
 		assertThat(this.out.toString()).contains("1 places, 0 services, 0 teams");
 	}
@@ -84,10 +84,10 @@
 		assertThat(revision()).isEqualTo(2);
 	}
 
-	// Two operators read revision 1 and both apply. The second must be told that another
-	// change came first, and must not overwrite it.
+	// Two operators read revision 1 and both apply a change. Guards against the second
+	// overwriting the first: it must report a conflict.
 	@Test
-	void theSecondOfTwoRacingOperatorsIsToldSoAndChangesNothing() throws IOException {
+	void theSecondOfTwoConcurrentOperatorsGetsAConflictAndChangesNothing() throws IOException {
 		run("apply", file("a.toml", PLACE));
 		assertThat(run("apply", file("b.toml", PLACE.replace("rs", "sc")), "--expect-revision", "1")).isZero();
 		assertThat(run("apply", file("c.toml", PLACE.replace("rs", "pr")), "--expect-revision", "1")).isEqualTo(3);
@@ -95,9 +95,8 @@
 		assertThat(manifest().document().toString()).contains("sc").doesNotContain("pr\"");
 	}
 
-	// The write took effect and its reply was lost: the operator's change stands there,
-	// and
-	// saying that somebody else came first would be false.
+	// The write took effect and its reply was lost. Guards against reporting a conflict
+	// with another operator although the stored change is the operator's own.
 	@Test
 	void aChangeWhoseReplyWasLostIsReportedAsAccepted() throws IOException {
 		this.store.fault(Fault.LOST_REPLY_ONCE);
@@ -106,14 +105,14 @@
 	}
 
 	@Test
-	void withThePlatformDownNothingIsChangedAndTheCodeSaysSo() throws IOException {
+	void withThePlatformDownApplyChangesNothingAndExitsAsUnavailable() throws IOException {
 		this.store.fault(Fault.OUTAGE);
 		assertThat(run("apply", file("a.toml", PLACE))).isEqualTo(4);
 		assertThat(this.err.toString()).contains("nothing was changed");
 	}
 
 	@Test
-	void lossesOfALogAreGroupedByTheirCause() throws IOException {
+	void lossesAreGroupedByCause() throws IOException {
 		Path log = this.folder.resolve("router.log");
 		Files.writeString(log,
 				"""
@@ -131,7 +130,7 @@
 	}
 
 	@Test
-	void anUnknownOptionIsAUsageFault() {
+	void anUnknownOrMissingOptionIsAUsageError() {
 		assertThat(WhinMain.run("status", "--nonsense")).isEqualTo(2);
 		assertThat(WhinMain.run("status", "--platform", address())).isEqualTo(2);
 		assertThat(this.err.toString()).contains("--entry HOST:PORT is needed");
