--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/BookingServer.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/BookingServer.java
@@ -12,19 +12,18 @@
 import io.whinjunction.http.server.Request;
 
 /**
- * A plain service that books slots and counts how often each action ran. Safe for all
- * threads.
+ * A plain service that books slots and counts how often each action ran. Thread-safe.
  */
 public final class BookingServer implements Handler {
 
-	private static final long SLOW_MS = 3000;
+	private static final long ANSWER_DELAY_MS = 3000;
 
 	private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
 
 	private final AtomicReference<Fault> nextFault = new AtomicReference<>(Fault.NONE);
 
 	/**
-	 * Switches what happens to the next booking.
+	 * Sets the fault of the next booking.
 	 * @param fault the fault
 	 */
 	public void nextFault(Fault fault) {
@@ -32,7 +31,7 @@
 	}
 
 	/**
-	 * How often a slot was booked.
+	 * Returns how often a slot was booked.
 	 * @param slot the slot
 	 * @return the number of runs
 	 */
@@ -68,22 +67,22 @@
 				.reply(Reply.json(201, "{\"confirmed\":\"" + slot + "\",\"run\":" + run + "}").with("x-booking", slot));
 			case BREAK_AFTER_RUN -> exchange.abort();
 			case SLOW_AFTER_RUN -> {
-				Thread.sleep(SLOW_MS);
+				Thread.sleep(ANSWER_DELAY_MS);
 				exchange.reply(Reply.json(201, "{\"confirmed\":\"" + slot + "\",\"run\":" + run + "}"));
 			}
 		}
 	}
 
 	/**
-	 * What goes wrong with a booking.
+	 * A fault of a booking.
 	 */
 	public enum Fault {
 
-		/** Nothing. */
+		/** No fault. */
 		NONE,
 		/** The action runs, then the connection breaks. */
 		BREAK_AFTER_RUN,
-		/** The action runs, its answer is late. */
+		/** The action runs, and its answer is late. */
 		SLOW_AFTER_RUN
 
 	}
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/EngineServer.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/EngineServer.java
@@ -19,12 +19,12 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Serves a {@link FakeEngine} over HTTP at a set rate, with a lagging load report. Safe
- * for all threads.
+ * Serves a {@link FakeEngine} over HTTP at a set rate, with a delayed load report.
+ * Thread-safe.
  */
 public final class EngineServer implements Handler {
 
-	private static final int BATCH = 8;
+	private static final int BATCH_SIZE = 8;
 
 	private final FakeEngine engine;
 
@@ -32,24 +32,24 @@
 
 	private final long reportLagMs;
 
-	/** Continuous batching: so many steps at once, the rest queue. */
-	private final Semaphore batch = new Semaphore(BATCH, true);
+	/** Models continuous batching: further steps queue while a batch is full. */
+	private final Semaphore batch = new Semaphore(BATCH_SIZE, true);
 
-	private EngineReport lagging;
+	private EngineReport delayedReport;
 
-	private long laggingSinceMs;
+	private long delayedReportAtMs;
 
 	/**
-	 * A server.
+	 * Creates a server.
 	 * @param engine the engine
-	 * @param stepMs how long a step takes
-	 * @param reportLagMs how old its load report may be
+	 * @param stepMs the duration of a step, in milliseconds
+	 * @param reportLagMs the maximum age of the reported load, in milliseconds
 	 */
 	public EngineServer(FakeEngine engine, long stepMs, long reportLagMs) {
 		this.engine = engine;
 		this.stepMs = stepMs;
 		this.reportLagMs = reportLagMs;
-		this.lagging = engine.report();
+		this.delayedReport = engine.report();
 	}
 
 	@Override
@@ -109,22 +109,22 @@
 	}
 
 	private Reply order(JsonNode node) {
-		boolean taken = this.engine
+		boolean accepted = this.engine
 			.order(new LoadOrder(node.path("service").asString(""), LayerRange.parse(node.path("range").asString("")),
 					node.path("generation").asLong(0), node.path("fencing").asLong(0)));
-		return taken ? Reply.json(200, "{}") : Reply.text(409, "the fencing number is old");
+		return accepted ? Reply.json(200, "{}") : Reply.text(409, "the fencing number is old");
 	}
 
 	private synchronized EngineReport report() {
 		long nowMs = System.nanoTime() / 1_000_000;
 		EngineReport current = this.engine.report();
-		if (nowMs - this.laggingSinceMs >= this.reportLagMs) {
-			this.lagging = current;
-			this.laggingSinceMs = nowMs;
+		if (nowMs - this.delayedReportAtMs >= this.reportLagMs) {
+			this.delayedReport = current;
+			this.delayedReportAtMs = nowMs;
 		}
-		// Only the load lags; layers and generation are the engine's state.
+		// Only the load is delayed; layers and generation are the engine's current state.
 		return new EngineReport(current.service(), current.range(), current.generation(), current.fencing(),
-				this.lagging.running(), current.tokensPerSecond(), current.leaving(), current.loading());
+				this.delayedReport.running(), current.tokensPerSecond(), current.leaving(), current.loading());
 	}
 
 	private static String encode(EngineReport report) {
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeEngine.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeEngine.java
@@ -14,8 +14,8 @@
 import io.whinjunction.engine.EngineClient.StepResult;
 
 /**
- * A model engine that holds a layer range. Deterministic; the faults are switched by the
- * tests. Safe for all threads.
+ * A model engine that holds a layer range. Deterministic; tests inject its faults.
+ * Thread-safe.
  */
 public final class FakeEngine {
 
@@ -42,12 +42,12 @@
 	private volatile double tokensPerSecond;
 
 	/**
-	 * An engine.
-	 * @param service the model
-	 * @param layerCount the model's layers
-	 * @param range the layers it holds; {@code null} for a spare
-	 * @param tokensPerSecond the rate it reports
-	 * @param checksFencing whether it refuses orders with an old fencing number
+	 * Creates an engine.
+	 * @param service the service name of the model
+	 * @param layerCount the number of the model's layers
+	 * @param range the layers held; {@code null} for a spare engine
+	 * @param tokensPerSecond the reported rate
+	 * @param checksFencing whether to refuse orders with an outdated fencing number
 	 */
 	public FakeEngine(String service, int layerCount, LayerRange range, double tokensPerSecond, boolean checksFencing) {
 		this.service = service;
@@ -60,7 +60,8 @@
 	/**
 	 * Runs a step.
 	 * @param step the step
-	 * @return its answer, or a refusal where the engine is not in the state it names
+	 * @return the result, or a refusal if the layer range, generation, attempt or
+	 * position of the step is not the engine's current one
 	 */
 	public StepResult step(Step step) {
 		if (!step.range().equals(this.range) || step.generation() != this.generation) {
@@ -80,17 +81,17 @@
 	}
 
 	/**
-	 * Forgets a stream.
-	 * @param stream the stream
+	 * Discards the cache of a stream.
+	 * @param stream the stream's id
 	 */
 	public void cancel(String stream) {
 		this.streams.remove(stream);
 	}
 
 	/**
-	 * Takes or refuses an order. Loading is immediate here.
+	 * Accepts or refuses an order. Layers are loaded immediately.
 	 * @param order the order
-	 * @return whether it was taken
+	 * @return whether the order was accepted
 	 */
 	public synchronized boolean order(LoadOrder order) {
 		if (this.checksFencing && order.fencing() < this.fencing) {
@@ -106,7 +107,7 @@
 	}
 
 	/**
-	 * Its report, without any lag.
+	 * Returns the current report, without delay.
 	 * @return the report
 	 */
 	public EngineReport report() {
@@ -115,14 +116,14 @@
 	}
 
 	/**
-	 * Says that it will go.
+	 * Announces that the engine is leaving.
 	 */
 	public void leave() {
 		this.leaving = true;
 	}
 
 	/**
-	 * Changes its version: the caches are lost.
+	 * Simulates an upgrade: raises the generation and drops all caches.
 	 */
 	public synchronized void upgrade() {
 		this.generation++;
@@ -130,16 +131,16 @@
 	}
 
 	/**
-	 * Streams that it keeps a cache for.
-	 * @return their number
+	 * Returns the number of streams that have a cache.
+	 * @return the number of streams
 	 */
 	public int openStreams() {
 		return this.streams.size();
 	}
 
 	/**
-	 * Steps run since its start.
-	 * @return their number
+	 * Returns the number of steps run since the start.
+	 * @return the number of steps
 	 */
 	public long stepCount() {
 		return this.steps.get();
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeObjectStore.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/FakeObjectStore.java
@@ -10,7 +10,8 @@
 import io.whinjunction.platform.ObjectStore;
 
 /**
- * The platform's object API in memory, with switchable faults. Safe for all threads.
+ * An in-memory implementation of the platform's object API with injectable faults.
+ * Thread-safe.
  */
 public final class FakeObjectStore implements ObjectStore {
 
@@ -25,15 +26,15 @@
 	private volatile Fault fault = Fault.NONE;
 
 	/**
-	 * Switches a fault.
-	 * @param fault the fault from now on
+	 * Sets the fault to simulate.
+	 * @param fault the fault
 	 */
 	public void fault(Fault fault) {
 		this.fault = fault;
 	}
 
 	/**
-	 * The fault that is on.
+	 * Returns the fault being simulated.
 	 * @return the fault
 	 */
 	public Fault fault() {
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * Puts an instance on the list, or changes it.
+	 * Adds an instance to the list, or replaces it.
 	 * @param instance the instance
 	 */
 	public synchronized void putInstance(Instance instance) {
@@ -49,16 +50,16 @@
 	}
 
 	/**
-	 * Takes an instance off the list.
-	 * @param id its id
+	 * Removes an instance from the list.
+	 * @param id the instance's id
 	 */
 	public synchronized void removeInstance(String id) {
 		this.instances.remove(id);
 	}
 
 	/**
-	 * Writes that took effect.
-	 * @return their number
+	 * Returns the number of writes and removals that took effect.
+	 * @return the number of writes
 	 */
 	public long writeCount() {
 		return this.writeCount.get();
@@ -86,7 +87,7 @@
 		this.objects.put(key, new StoredObject(key, ++this.lastVersion, value));
 		this.writeCount.incrementAndGet();
 		notifyAll();
-		return replyOf(new Write.Written(this.lastVersion));
+		return applyReplyFault(new Write.Written(this.lastVersion));
 	}
 
 	@Override
@@ -100,7 +101,7 @@
 		}
 		this.objects.remove(key);
 		this.writeCount.incrementAndGet();
-		return replyOf(new Write.Written(expectedVersion));
+		return applyReplyFault(new Write.Written(expectedVersion));
 	}
 
 	@Override
@@ -131,7 +132,8 @@
 				return new Read.Absent();
 			}
 			try {
-				// Short waits, so that a fault ends them.
+				// Waits at most 50 ms at a time, so that a fault set meanwhile ends the
+				// watch.
 				wait(Math.min(leftMs, 50));
 			}
 			catch (InterruptedException ex) {
@@ -150,7 +152,7 @@
 		return new Instances.Listed(List.copyOf(this.instances.values()));
 	}
 
-	private Write replyOf(Write write) {
+	private Write applyReplyFault(Write write) {
 		if (this.fault == Fault.LOST_REPLY_ONCE) {
 			this.fault = Fault.NONE;
 			return new Write.Uncertain("reply lost");
@@ -163,19 +165,19 @@
 	}
 
 	/**
-	 * What the platform does wrong.
+	 * A fault of the platform.
 	 */
 	public enum Fault {
 
-		/** Nothing. */
+		/** No fault. */
 		NONE,
 		/** No call is answered or takes effect. */
 		OUTAGE,
-		/** Calls take a second longer, over HTTP only. */
+		/** Calls over HTTP take one second longer; calls in the process do not. */
 		SLOW,
-		/** The next write takes effect and its reply is lost. */
+		/** The next write takes effect, and its reply is lost. */
 		LOST_REPLY_ONCE,
-		/** The next write takes effect, its reply is lost and an outage begins. */
+		/** The next write takes effect, its reply is lost, and an outage begins. */
 		LOST_REPLY_THEN_OUTAGE
 
 	}
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/FreePorts.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/FreePorts.java
@@ -6,36 +6,37 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Hands out ports on loopback, below those that the system gives to outgoing connections:
- * a port that was only tried and closed may otherwise be taken by one of them before it
- * is listened on. Safe for all threads.
+ * Finds free loopback ports below the ephemeral port range of the system. A port that was
+ * bound and closed to test it could otherwise be assigned to an outgoing connection
+ * before the caller listens on it. Thread-safe.
  */
 public final class FreePorts {
 
-	private static final int FIRST = 21_000;
+	private static final int FIRST_PORT = 21_000;
 
-	private static final int LAST = 32_000;
+	private static final int END_PORT = 32_000;
 
-	private static final AtomicInteger NEXT = new AtomicInteger(FIRST + (int) (ProcessHandle.current().pid() % 7000));
+	private static final AtomicInteger NEXT = new AtomicInteger(
+			FIRST_PORT + (int) (ProcessHandle.current().pid() % 7000));
 
 	private FreePorts() {
 	}
 
 	/**
-	 * The next free port.
-	 * @return a port that nothing listens on
+	 * Returns the next free port.
+	 * @return a port on which nothing listens
 	 */
 	public static int next() {
-		for (int i = FIRST; i < LAST; i++) {
-			int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), LAST - FIRST);
+		for (int i = FIRST_PORT; i < END_PORT; i++) {
+			int port = FIRST_PORT + Math.floorMod(NEXT.getAndIncrement(), END_PORT - FIRST_PORT);
 			try (ServerSocket socket = new ServerSocket(port, 0, InetAddress.getLoopbackAddress())) {
 				return socket.getLocalPort();
 			}
 			catch (IOException ex) {
-				// Somebody listens there.
+				// The port is in use; try the next one.
 			}
 		}
-		throw new IllegalStateException("no free port from " + FIRST + " to " + LAST);
+		throw new IllegalStateException("no free port from " + FIRST_PORT + " to " + END_PORT);
 	}
 
 }
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/PlatformServer.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/PlatformServer.java
@@ -21,11 +21,11 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Serves a {@link FakeObjectStore} over HTTP. Safe for all threads.
+ * Serves a {@link FakeObjectStore} over HTTP. Thread-safe.
  */
 public final class PlatformServer implements Handler {
 
-	private static final long SLOW_MS = 1000;
+	private static final long SLOW_CALL_DELAY_MS = 1000;
 
 	private final FakeObjectStore store;
 
@@ -47,7 +47,7 @@
 			return;
 		}
 		if (this.store.fault() == Fault.SLOW) {
-			Thread.sleep(SLOW_MS);
+			Thread.sleep(SLOW_CALL_DELAY_MS);
 		}
 		if (path.startsWith("/objects/")) {
 			exchange.reply(object(request, decode(path.substring(9))));
@@ -56,7 +56,7 @@
 			exchange.reply(list(decode(request.parameter("prefix").orElse(""))));
 		}
 		else if (path.startsWith("/watch/")) {
-			exchange.reply(read(
+			exchange.reply(readReply(
 					this.store.watch(decode(path.substring(7)), Long.parseLong(request.parameter("after").orElse("0")),
 							Long.parseLong(request.parameter("timeout-ms").orElse("1000")))));
 		}
@@ -83,9 +83,9 @@
 	private Reply object(Request request, String key) {
 		long expected = Long.parseLong(request.header("if-match").orElse("0"));
 		return switch (request.method()) {
-			case "GET" -> read(this.store.read(key));
-			case "PUT" -> written(this.store.write(key, request.text(), expected));
-			case "DELETE" -> written(this.store.remove(key, expected));
+			case "GET" -> readReply(this.store.read(key));
+			case "PUT" -> writeReply(this.store.write(key, request.text(), expected));
+			case "DELETE" -> writeReply(this.store.remove(key, expected));
 			default -> Reply.json(405, "{}");
 		};
 	}
@@ -121,7 +121,7 @@
 		return Reply.json(200, array.toString());
 	}
 
-	private static Reply read(Read read) {
+	private static Reply readReply(Read read) {
 		return switch (read) {
 			case Read.Found found -> Reply.json(200, found.value()).with("etag", Long.toString(found.version()));
 			case Read.Absent ignored -> Reply.json(404, "{}");
@@ -129,7 +129,7 @@
 		};
 	}
 
-	private static Reply written(Write write) {
+	private static Reply writeReply(Write write) {
 		return switch (write) {
 			case Write.Written written -> Reply.json(200, "{}").with("etag", Long.toString(written.version()));
 			case Write.Conflict ignored -> Reply.json(412, "{}");
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/ReferenceModel.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/ReferenceModel.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * The arithmetic of the stand-in model: a token depends on the prompt, on every earlier
- * token and on each layer passed in order, so that a skipped, repeated or crossed layer
- * gives another answer. Stateless.
+ * The arithmetic of the stand-in model. A token depends on the prompt, on every earlier
+ * token and on each layer applied in order, so that a skipped, repeated or swapped layer
+ * produces a different draft. Stateless.
  */
 public final class ReferenceModel {
 
-	private static final long GOLDEN = 0x9E3779B97F4A7C15L;
+	/** 2^64 divided by the golden ratio, as in the SplitMix64 generator. */
+	private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
 	private static final String[] SYLLABLES = { "ba", "ce", "di", "fo", "gu", "la", "me", "ni", "po", "ru", "sa", "te",
 			"vi", "xo", "zu", "quo" };
@@ -19,12 +20,12 @@
 	}
 
 	/**
-	 * The first layer's input for a text.
+	 * Returns the input of the first layer for a text.
 	 * @param text the prompt or a token
-	 * @return its embedding
+	 * @return the embedding
 	 */
 	public static long embed(String text) {
-		long value = GOLDEN;
+		long value = GOLDEN_GAMMA;
 		for (int i = 0; i < text.length(); i++) {
 			value = mix(value, text.charAt(i));
 		}
@@ -32,18 +33,18 @@
 	}
 
 	/**
-	 * One layer for one position.
-	 * @param layer the layer
-	 * @param activation the activation below it
-	 * @param cache what the layer kept of earlier positions
-	 * @return the activation above it
+	 * Computes one layer for one position.
+	 * @param layer the layer's index
+	 * @param activation the input activation
+	 * @param cache the layer's cache of earlier positions
+	 * @return the output activation
 	 */
 	public static long layer(int layer, long activation, long cache) {
 		return mix(mix(activation, layer + 1), cache);
 	}
 
 	/**
-	 * The token that an activation above the last layer stands for.
+	 * Returns the token for an output activation of the last layer.
 	 * @param activation the activation
 	 * @return the token, with a leading space
 	 */
@@ -56,10 +57,10 @@
 	}
 
 	/**
-	 * What a correct draft is.
+	 * Computes the correct draft for a prompt.
 	 * @param prompt the prompt
-	 * @param layerCount the model's layers
-	 * @param count how many tokens
+	 * @param layerCount the number of the model's layers
+	 * @param count the number of tokens
 	 * @return the tokens
 	 */
 	public static List<String> draft(String prompt, int layerCount, int count) {
@@ -83,7 +84,7 @@
 	}
 
 	private static long mix(long left, long right) {
-		long value = (left ^ (right * GOLDEN)) + GOLDEN;
+		long value = (left ^ (right * GOLDEN_GAMMA)) + GOLDEN_GAMMA;
 		value = (value ^ (value >>> 30)) * 0xBF58476D1CE4E5B9L;
 		value = (value ^ (value >>> 27)) * 0x94D049BB133111EBL;
 		return value ^ (value >>> 31);
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/Relay.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/Relay.java
@@ -11,9 +11,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Passes TCP connections on and, on order, goes silent on those that are open while new
- * ones work, or cuts all. The order comes as the first line of a connection:
- * {@code !silence}, {@code !cut} or {@code !heal}. Safe for all threads.
+ * Forwards TCP connections. On command it drops all further data of the connections that
+ * are open, while new ones work, or breaks all connections. A command is sent as the
+ * first line of a connection: {@code !silence}, {@code !cut} or {@code !heal}.
+ * Thread-safe.
  */
 public final class Relay {
 
@@ -36,9 +37,9 @@
 	/**
 	 * Starts a relay on loopback.
 	 * @param port the port to listen on
-	 * @param target where to pass connections on, {@code HOST:PORT}
+	 * @param target the address to forward connections to, {@code HOST:PORT}
 	 * @return the relay
-	 * @throws IOException where the port cannot be bound
+	 * @throws IOException if the port cannot be bound
 	 */
 	public static Relay start(int port, String target) throws IOException {
 		Relay relay = new Relay(target);
@@ -48,19 +49,20 @@
 	}
 
 	/**
-	 * Open connections go silent for good; new ones work.
+	 * Drops all further data of the connections open now, permanently. They stay open,
+	 * and new connections work.
 	 */
-	public void silenceOpen() {
+	public void silenceOpenConnections() {
 		this.open.forEach((pipe) -> pipe.silent = true);
 	}
 
 	/**
-	 * Breaks open connections and refuses new ones, or stops doing so.
-	 * @param cutNow whether to cut
+	 * Breaks open connections and closes new ones, or stops doing so.
+	 * @param enabled whether to cut connections
 	 */
-	public void cut(boolean cutNow) {
-		this.cut.set(cutNow);
-		if (cutNow) {
+	public void cut(boolean enabled) {
+		this.cut.set(enabled);
+		if (enabled) {
 			this.open.forEach(Pipe::close);
 		}
 	}
@@ -82,7 +84,7 @@
 			byte[] first = new byte[BUFFER_BYTES];
 			int length = socket.getInputStream().read(first);
 			if (length > 0 && first[0] == '!') {
-				order(new String(first, 0, length).strip());
+				runCommand(new String(first, 0, length).strip());
 				socket.close();
 				return;
 			}
@@ -92,18 +94,18 @@
 			}
 			Pipe pipe = new Pipe(socket, new Socket(this.targetHost, this.targetPort));
 			this.open.add(pipe);
-			pipe.back.getOutputStream().write(first, 0, length);
-			Thread.startVirtualThread(() -> pump(pipe, pipe.back, pipe.front));
-			pump(pipe, pipe.front, pipe.back);
+			pipe.server.getOutputStream().write(first, 0, length);
+			Thread.startVirtualThread(() -> pump(pipe, pipe.server, pipe.client));
+			pump(pipe, pipe.client, pipe.server);
 		}
 		catch (IOException ex) {
 			closeQuietly(socket);
 		}
 	}
 
-	private void order(String order) {
-		switch (order) {
-			case "!silence" -> silenceOpen();
+	private void runCommand(String command) {
+		switch (command) {
+			case "!silence" -> silenceOpenConnections();
 			case "!cut" -> cut(true);
 			default -> cut(false);
 		}
@@ -124,7 +126,7 @@
 			}
 		}
 		catch (IOException ex) {
-			// One side ended; the other is told below.
+			// One side broke; the other is closed below.
 		}
 		if (!pipe.silent) {
 			pipe.close();
@@ -137,26 +139,26 @@
 			socket.close();
 		}
 		catch (IOException ex) {
-			// It is gone already.
+			// The socket is already closed.
 		}
 	}
 
 	private static final class Pipe {
 
-		private final Socket front;
+		private final Socket client;
 
-		private final Socket back;
+		private final Socket server;
 
 		private volatile boolean silent;
 
-		Pipe(Socket front, Socket back) {
-			this.front = front;
-			this.back = back;
+		Pipe(Socket client, Socket server) {
+			this.client = client;
+			this.server = server;
 		}
 
 		void close() {
-			closeQuietly(this.front);
-			closeQuietly(this.back);
+			closeQuietly(this.client);
+			closeQuietly(this.server);
 		}
 
 	}
--- a/whinjunction-standins/src/main/java/io/whinjunction/standins/StandinMain.java
+++ b/whinjunction-standins/src/main/java/io/whinjunction/standins/StandinMain.java
@@ -20,10 +20,10 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * The {@code whin-standin} program: a small fake of the platform, of an engine, or of a
- * plain service, for trying out and for tests.
+ * The {@code whin-standin} program: a small fake of the platform, of an engine or of a
+ * plain service, for local trials and tests.
  */
-@Command(name = "whin-standin", description = "A small fake of the platform, of an engine, or of a plain service")
+@Command(name = "whin-standin", description = "Runs a small fake of the platform, of an engine or of a plain service")
 public final class StandinMain {
 
 	private static final int USAGE = 2;
@@ -31,7 +31,7 @@
 	private static final int CONNECT_MS = 2000;
 
 	@Option(name = "--role", title = "ROLE",
-			description = "platform, engine, booking, relay; or expected, which prints what a correct draft is")
+			description = "platform, engine, booking, relay; or expected, which prints the correct draft")
 	@Required
 	@AllowedRawValues(allowedValues = { "platform", "engine", "booking", "relay", "expected" })
 	private String role;
@@ -39,48 +39,49 @@
 	@Option(name = "--port", title = "PORT", description = "The port to listen on")
 	private int port;
 
-	@Option(name = "--id", title = "NAME", description = "The instance's name; default: ROLE-PORT")
+	@Option(name = "--id", title = "NAME", description = "The id of the instance; default: ROLE-PORT")
 	private String id;
 
-	@Option(name = "--platform", title = "HOST:PORT", description = "Where to register as an instance")
+	@Option(name = "--platform", title = "HOST:PORT", description = "The platform to register with as an instance")
 	private String platform;
 
-	@Option(name = "--advertise", title = "HOST:PORT", description = "The address to register; default: the own one")
+	@Option(name = "--advertise", title = "HOST:PORT", description = "The address to register; default: 127.0.0.1:PORT")
 	private String advertise;
 
-	@Option(name = "--service", title = "NAME", description = "The service it belongs to")
+	@Option(name = "--service", title = "NAME", description = "The service of the instance")
 	private String service = "";
 
-	@Option(name = "--failure-domain", title = "NAME", description = "Where it is")
+	@Option(name = "--failure-domain", title = "NAME", description = "The failure domain of the instance")
 	private String failureDomain = "";
 
-	@Option(name = "--layers", title = "COUNT", description = "The model's layers; default 32")
+	@Option(name = "--layers", title = "COUNT", description = "The number of the model's layers; default 32")
 	private int layers = 32;
 
-	@Option(name = "--range", title = "FIRST-END", description = "The layers an engine holds; default: none, a spare")
+	@Option(name = "--range", title = "FIRST-END",
+			description = "The layers the engine holds; default: none, a spare engine")
 	private String range;
 
-	@Option(name = "--step-ms", title = "MS", description = "How long a step takes; default 2")
+	@Option(name = "--step-ms", title = "MS", description = "The duration of a step; default 2")
 	private int stepMs = 2;
 
-	@Option(name = "--report-lag-ms", title = "MS", description = "How old a load report may be; default 500")
+	@Option(name = "--report-lag-ms", title = "MS", description = "The maximum age of a load report; default 500")
 	private int reportLagMs = 500;
 
-	@Option(name = "--checks-fencing", description = "Refuse orders with an old fencing number")
+	@Option(name = "--checks-fencing", description = "Refuse orders with an outdated fencing number")
 	private boolean checksFencing;
 
 	@Option(name = "--prompt", title = "TEXT", description = "The prompt of the expected draft")
 	private String prompt = "";
 
-	@Option(name = "--count", title = "COUNT", description = "How many tokens are expected; default 16")
+	@Option(name = "--count", title = "COUNT", description = "The number of tokens of the expected draft; default 16")
 	private int count = 16;
 
-	@Option(name = "--target", title = "HOST:PORT", description = "Where a relay passes connections on")
+	@Option(name = "--target", title = "HOST:PORT", description = "The address to which a relay forwards connections")
 	private String target;
 
 	/**
 	 * Runs the stand-in until SIGTERM.
-	 * @param args the arguments
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		Logs.initialize();
