--- a/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/ForwardSession.java
@@ -11,10 +11,10 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.util.concurrent.ScheduledFuture;
 import io.whinjunction.chain.Hop;
-import io.whinjunction.forward.AttemptEnd;
+import io.whinjunction.forward.AttemptOutcome;
 import io.whinjunction.forward.CrashingRequests;
-import io.whinjunction.forward.NextStep;
 import io.whinjunction.forward.RequestFingerprint;
+import io.whinjunction.forward.RetryDecision;
 import io.whinjunction.forward.RetryPolicy;
 import io.whinjunction.routing.RequestKind;
 import io.whinjunction.routing.Route;
@@ -193,7 +193,7 @@
 			onAnswerOverTime();
 			return;
 		}
-		if (finalStep() instanceof NextStep.Fail) {
+		if (finalStep() instanceof RetryDecision.Fail) {
 			finish("failed", "timeout", Answer.error(HttpResponseStatus.GATEWAY_TIMEOUT, "no answer came in time"));
 		}
 		else {
@@ -229,7 +229,7 @@
 		this.fingerprint = RequestFingerprint.of(Objects.requireNonNullElse(teamName(), ""), this.request.method(),
 				this.request.host(), this.request.uri(), this.body.buffered().nioBuffer());
 		if (outlivesRouter()) {
-			giveUp(new NextStep.Refuse(), STOPPING);
+			giveUp(new RetryDecision.Refuse(), STOPPING);
 			return;
 		}
 		tryNext();
@@ -292,7 +292,7 @@
 	 * @param end how it ended
 	 * @param faultyAddress the engine that made it fail, or {@code null}
 	 */
-	void onAttemptEnd(AttemptEnd end, String faultyAddress) {
+	void onAttemptEnd(AttemptOutcome end, String faultyAddress) {
 		Attempt ended = this.attempt;
 		this.attempt = null;
 		avoid(ended, end, faultyAddress);
@@ -307,18 +307,18 @@
 			giveUp(finalStep(), STOPPING);
 			return;
 		}
-		NextStep next = RetryPolicy.next(this.route, end, before, leftMs(), this::repeatGranted);
+		RetryDecision next = RetryPolicy.next(this.route, end, before, leftMs(), this::repeatGranted);
 		// What was passed on of an answer without events cannot be taken back.
 		boolean replayable = !this.body.passingThrough()
 				&& (!this.answerBegun || this.route.kind() == RequestKind.STREAMING);
-		if (next instanceof NextStep.TryAgain && replayable) {
+		if (next instanceof RetryDecision.Retry && replayable) {
 			tryNext();
 			return;
 		}
 		giveUp(finalStep(), end.reason());
 	}
 
-	private NextStep finalStep() {
+	private RetryDecision finalStep() {
 		return this.history.finalStep(this.attempt != null && this.attempt.sent());
 	}
 
@@ -330,7 +330,7 @@
 		Attempt stalled = this.attempt;
 		if (stalled != null && !this.done) {
 			stalled.abandon();
-			onAttemptEnd(new AttemptEnd.Unknown("stalled"), address);
+			onAttemptEnd(new AttemptOutcome.Unknown("stalled"), address);
 		}
 	}
 
@@ -343,10 +343,10 @@
 		if (outlivesRouter()) {
 			return false;
 		}
-		AttemptEnd end = new AttemptEnd.Unknown("stalled");
+		AttemptOutcome end = new AttemptOutcome.Unknown("stalled");
 		RetryPolicy.History counted = new RetryPolicy.History(this.history.sent(), this.history.notSent(), true);
-		NextStep next = RetryPolicy.next(this.route, end, counted, leftMs(), this::repeatGranted);
-		if (!(next instanceof NextStep.TryAgain)) {
+		RetryDecision next = RetryPolicy.next(this.route, end, counted, leftMs(), this::repeatGranted);
+		if (!(next instanceof RetryDecision.Retry)) {
 			return false;
 		}
 		Attempt stalled = this.attempt;
@@ -380,7 +380,7 @@
 			.tryRepeat(this.router.nowMs(), this.router.peers().routerCount(this.router.nowMs()));
 	}
 
-	private void avoid(Attempt ended, AttemptEnd end, String faultyAddress) {
+	private void avoid(Attempt ended, AttemptOutcome end, String faultyAddress) {
 		long untilMs = this.router.nowMs() + AVOID_MS;
 		UpstreamState faulty = (faultyAddress != null)
 				? this.router.directory().findByAddress(this.service.name(), faultyAddress) : null;
@@ -397,16 +397,16 @@
 			this.history.recordFailure(first.incarnation());
 		}
 		UpstreamState state = this.router.directory().find(first.incarnation());
-		if (state != null && !(end instanceof AttemptEnd.Failed)) {
+		if (state != null && !(end instanceof AttemptOutcome.Failed)) {
 			state.avoidUntil(untilMs);
 		}
 	}
 
-	private void giveUp(NextStep step, String reason) {
+	private void giveUp(RetryDecision step, String reason) {
 		giveUp(step, reason, reason.equals(STOPPING) ? RequestGate.RETRY_ELSEWHERE_MS : RETRY_AFTER_MS);
 	}
 
-	private void giveUp(NextStep step, String reason, long retryAfterMs) {
+	private void giveUp(RetryDecision step, String reason, long retryAfterMs) {
 		if (this.answerBegun) {
 			end("broken", reason);
 			this.caller.abort();
@@ -414,7 +414,7 @@
 		else if (this.failedAnswer != null) {
 			finish("failed-upstream", reason, this.failedAnswer);
 		}
-		else if (step instanceof NextStep.Refuse) {
+		else if (step instanceof RetryDecision.Refuse) {
 			finish("refused", reason, Answer.refusal("it was not run: " + reason, retryAfterMs));
 		}
 		else {
@@ -438,7 +438,7 @@
 		// A request that has produced results is not the cause, but affected by the crash
 		// that another one caused.
 		if (!this.crashRetrial && !this.answerBegun && this.attempt != null && this.attempt.underWay()) {
-			giveUp(new NextStep.Fail(), CRASHES_UPSTREAMS);
+			giveUp(new RetryDecision.Fail(), CRASHES_UPSTREAMS);
 		}
 	}
 
@@ -468,7 +468,7 @@
 	void onFailedAnswer(Answer answer) {
 		ranWell();
 		this.failedAnswer = answer;
-		onAttemptEnd(new AttemptEnd.Failed("status-" + answer.status().code()), null);
+		onAttemptEnd(new AttemptOutcome.Failed("status-" + answer.status().code()), null);
 	}
 
 	/**
@@ -619,7 +619,7 @@
 	 * @return tokens of the prompt and of a usual answer
 	 */
 	int expectedTokens() {
-		int usual = this.service.chained() ? this.service.model().usualAnswerTokens() : 0;
+		int usual = this.service.chained() ? this.service.model().meanAnswerTokens() : 0;
 		return this.request.promptTokens() + Math.min(this.request.answerTokens(), usual);
 	}
 
