--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
@@ -17,7 +17,7 @@
 import io.whinjunction.outcome.Refusal.Code;
 
 /**
- * Answers callers. Safe for all threads.
+ * Handles the requests of callers. Thread-safe.
  */
 final class CallerHandler implements Handler {
 
@@ -25,49 +25,50 @@
 
 	private static final int ID_BYTES = 8;
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
 	private final DraftHandler drafts;
 
 	private final ServiceHandler services;
 
-	private final InProgress inProgress;
+	private final InFlightRequests inFlight;
 
-	CallerHandler(EntryParts parts, InProgress inProgress) {
-		this.parts = parts;
-		this.drafts = new DraftHandler(parts);
-		this.services = new ServiceHandler(parts);
-		this.inProgress = inProgress;
+	CallerHandler(EntryContext context, InFlightRequests inFlight) {
+		this.context = context;
+		this.drafts = new DraftHandler(context);
+		this.services = new ServiceHandler(context);
+		this.inFlight = inFlight;
 	}
 
 	@Override
 	public Optional<Reply> refuseEarly(Request head) {
-		if (!(this.parts.gate().check(head) instanceof Verdict.Refused refused)) {
+		if (!(this.context.gate().check(head) instanceof Verdict.Refused refused)) {
 			return Optional.empty();
 		}
 		RequestRecord record = record(head);
 		Outcome outcome = new Outcome.NotRun(refused.refusal());
 		record.end(outcome);
-		return Optional.of(Answers.refusal(outcome, refused.refusal(), record.requestId()));
+		return Optional.of(ErrorReplies.refusal(outcome, refused.refusal(), record.requestId()));
 	}
 
 	@Override
 	public void handle(Exchange exchange) {
-		this.inProgress.begin();
+		this.inFlight.begin();
 		try {
 			RequestRecord record = record(exchange.request());
 			record.end(route(exchange, record));
-			// In progress until then: a stop would cut the answer to a slow reader.
+			// The request stays in flight until the response is sent; otherwise a stop
+			// would cut off the response to a slow reader.
 			exchange.awaitSent();
 		}
 		finally {
-			this.inProgress.end();
+			this.inFlight.end();
 		}
 	}
 
 	private Outcome route(Exchange exchange, RequestRecord record) {
-		// Judged again: the body may have taken its time.
-		Verdict verdict = this.parts.gate().check(exchange.request());
+		// Checked again, since the state may have changed while the body arrived.
+		Verdict verdict = this.context.gate().check(exchange.request());
 		if (verdict instanceof Verdict.Refused refused) {
 			return notRun(exchange, record, refused.refusal());
 		}
@@ -93,13 +94,13 @@
 		ThreadLocalRandom.current().nextBytes(id);
 		Map<String, String> headers = new HashMap<>();
 		request.headers().forEach((header) -> headers.putIfAbsent(header.getKey(), header.getValue()));
-		Span span = this.parts.tracing().callerLeg("caller " + request.method(), headers);
-		return new RequestRecord(this.parts, "r-" + HexFormat.of().formatHex(id), span);
+		Span span = this.context.tracing().callerLeg("caller " + request.method(), headers);
+		return new RequestRecord(this.context, "r-" + HexFormat.of().formatHex(id), span);
 	}
 
 	private static Outcome notRun(Exchange exchange, RequestRecord record, Refusal refusal) {
 		Outcome outcome = new Outcome.NotRun(refusal);
-		exchange.reply(Answers.refusal(outcome, refusal, record.requestId()));
+		exchange.reply(ErrorReplies.refusal(outcome, refusal, record.requestId()));
 		return outcome;
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -22,67 +22,67 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Answers the text model API: whole answers, and streams as server-sent events.
+ * Handles the text model API: complete responses and streams of server-sent events.
  * <p>
- * Invariant: a stream ends with {@code [DONE]} only where the whole answer was sent; any
- * other end carries an error event and breaks the connection off. Safe for all threads.
+ * Invariant: a stream ends with {@code [DONE]} only if the complete answer was sent;
+ * otherwise it ends with an error event and an aborted connection. Thread-safe.
  */
 final class DraftHandler {
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
-	DraftHandler(EntryParts parts) {
-		this.parts = parts;
+	DraftHandler(EntryContext context) {
+		this.context = context;
 	}
 
 	Outcome handle(Exchange exchange, RequestRecord record, Gate.Verdict.Passed passed, boolean chat) {
 		DraftBody body;
 		try {
-			body = DraftBody.parse(exchange.request().body(), chat, this.parts.settings().limits().promptChars(),
-					this.parts.settings().limits().draftTokens());
+			body = DraftBody.parse(exchange.request().body(), chat, this.context.settings().limits().promptChars(),
+					this.context.settings().limits().draftTokens());
 		}
-		catch (DraftBody.BadBody ex) {
+		catch (DraftBody.InvalidBodyException ex) {
 			return refuse(exchange, record, Refusal.permanent(Code.BAD_REQUEST, ex.getMessage()));
 		}
 		if (!(passed.service(body.model()).orElse(null) instanceof Service.Model model)) {
 			return refuse(exchange, record, Gate.unknownService(passed, body.model()));
 		}
 		record.service(model.name());
-		Span waiting = this.parts.tracing().part(record.span(), "admission");
-		Refusal refusal = Admission.enter(this.parts, this.parts.drafts(), passed.team(), model.answerDeadlineMs(),
+		Span admission = this.context.tracing().part(record.span(), "admission");
+		Refusal refusal = Admission.enter(this.context, this.context.drafts(), passed.team(), model.answerDeadlineMs(),
 				exchange);
-		waiting.end();
+		admission.end();
 		if (refusal != null) {
 			return refuse(exchange, record, refusal);
 		}
-		long enteredMs = this.parts.ticker().nowMs();
+		long enteredMs = this.context.ticker().nowMs();
 		try {
 			return run(exchange, record, passed, model,
 					new Writer(exchange, record, body, chat, enteredMs, model.answerDeadlineMs()));
 		}
 		finally {
-			long nowMs = this.parts.ticker().nowMs();
-			this.parts.drafts().leave(passed.team().name(), nowMs - enteredMs, nowMs);
+			long nowMs = this.context.ticker().nowMs();
+			this.context.drafts().leave(passed.team().name(), nowMs - enteredMs, nowMs);
 		}
 	}
 
 	private Outcome run(Exchange exchange, RequestRecord record, Gate.Verdict.Passed passed, Service.Model model,
 			Writer writer) {
 		DraftRequest request = new DraftRequest(record.requestId(), model,
-				() -> this.parts.gate().placement(passed.team().name()),
-				(over) -> this.parts.gate().awaitPlacement(passed.team().name(), over), writer.body.prompt(),
+				() -> this.context.gate().placement(passed.team().name()),
+				(over) -> this.context.gate().awaitPlacement(passed.team().name(), over), writer.body.prompt(),
 				writer.body.maxTokens(), record.startedAtMs() + model.answerDeadlineMs());
-		DraftResult result = new DraftSession(request, this.parts.chooser(), this.parts.upstreams(),
-				this.parts.engines(), this.parts.budget(), this.parts.ticker())
+		DraftResult result = new DraftSession(request, this.context.chooser(), this.context.upstreams(),
+				this.context.engines(), this.context.budget(), this.context.ticker())
 			.run(writer);
 		record.hops(result.hops());
 		result.hops().forEach((hop) -> trace(record.span(), hop));
-		this.parts.metrics().retried(model.name(), result.attempts() - 1);
-		this.parts.metrics().tokens(model.name(), result.tokens().size());
+		this.context.metrics().retried(model.name(), result.attempts() - 1);
+		this.context.metrics().tokens(model.name(), result.tokens().size());
 		switch (result.outcome()) {
-			case Outcome.Answered ignored -> writer.whole(result.tokens());
-			case Outcome.NotRun notRun -> writer.broken(result.outcome(), notRun.refusal());
-			case Outcome.Unknown unknown -> writer.broken(result.outcome(), unknown.refusal());
+			case Outcome.Answered ignored -> writer.complete(result.tokens());
+			case Outcome.NotRun notRun -> writer.fail(result.outcome(), notRun.refusal());
+			case Outcome.Unknown unknown -> writer.fail(result.outcome(), unknown.refusal());
 		}
 		return result.outcome();
 	}
@@ -95,17 +95,19 @@
 			.put("whin.attempt", hop.attempt())
 			.put("whin.steps", hop.steps())
 			.build();
-		this.parts.tracing().endedHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
+		this.context.tracing()
+			.endedHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
 	}
 
 	private static Outcome refuse(Exchange exchange, RequestRecord record, Refusal refusal) {
 		Outcome outcome = new Outcome.NotRun(refusal);
-		exchange.reply(Answers.refusal(outcome, refusal, record.requestId()));
+		exchange.reply(ErrorReplies.refusal(outcome, refusal, record.requestId()));
 		return outcome;
 	}
 
 	/**
-	 * Writes tokens in the caller's chosen form. Confined to the request's thread.
+	 * Writes tokens in the format that the caller requested. Confined to the request's
+	 * thread.
 	 */
 	private final class Writer implements TokenSink {
 
@@ -121,7 +123,7 @@
 
 		private final long allowedMs;
 
-		private boolean begun;
+		private boolean started;
 
 		private int count;
 
@@ -136,13 +138,13 @@
 
 		@Override
 		public void token(String token) {
-			EntryParts entry = DraftHandler.this.parts;
-			long nowMs = entry.ticker().nowMs();
+			EntryContext context = DraftHandler.this.context;
+			long nowMs = context.ticker().nowMs();
 			if (this.count++ == 0) {
-				entry.metrics().firstToken(this.body.model(), nowMs - this.record.startedAtMs());
+				context.metrics().firstToken(this.body.model(), nowMs - this.record.startedAtMs());
 			}
-			double paceMs = (double) (nowMs - this.enteredMs) * this.body.maxTokens() / this.count;
-			entry.drafts().paced(nowMs, paceMs, this.allowedMs);
+			double estimatedMs = (double) (nowMs - this.enteredMs) * this.body.maxTokens() / this.count;
+			context.drafts().paced(nowMs, estimatedMs, this.allowedMs);
 			if (this.body.stream()) {
 				begin();
 				event(chunk(token, null).toString());
@@ -156,10 +158,10 @@
 
 		@Override
 		public boolean stopping() {
-			return !DraftHandler.this.parts.gate().leavesTimeFor(0);
+			return !DraftHandler.this.context.gate().hasTimeFor(0);
 		}
 
-		void whole(List<String> tokens) {
+		void complete(List<String> tokens) {
 			if (!this.body.stream()) {
 				Reply reply = new Reply(200, headers("application/json"),
 						chunk(String.join("", tokens), "length").toString().getBytes(StandardCharsets.UTF_8));
@@ -169,24 +171,24 @@
 			begin();
 			event(chunk("", "length").toString());
 			event("[DONE]");
-			this.exchange.end(List.of(Map.entry(Answers.OUTCOME, "answered")));
+			this.exchange.end(List.of(Map.entry(ErrorReplies.OUTCOME, "answered")));
 		}
 
-		void broken(Outcome outcome, Refusal refusal) {
-			if (!this.begun) {
-				this.exchange.reply(Answers.refusal(outcome, refusal, this.record.requestId()));
+		void fail(Outcome outcome, Refusal refusal) {
+			if (!this.started) {
+				this.exchange.reply(ErrorReplies.refusal(outcome, refusal, this.record.requestId()));
 				return;
 			}
 			ObjectNode node = Json.object();
-			node.put(Answers.OUTCOME, outcome.headerValue());
-			node.set("error", Answers.error(refusal, this.record.requestId()));
+			node.put(ErrorReplies.OUTCOME, outcome.headerValue());
+			node.set("error", ErrorReplies.error(refusal, this.record.requestId()));
 			event(node.toString());
 			this.exchange.abort();
 		}
 
 		private void begin() {
-			if (!this.begun) {
-				this.begun = true;
+			if (!this.started) {
+				this.started = true;
 				this.exchange.begin(200, headers("text/event-stream"));
 			}
 		}
@@ -194,8 +196,8 @@
 		private List<Map.Entry<String, String>> headers(String contentType) {
 			List<Map.Entry<String, String>> headers = new ArrayList<>();
 			headers.add(Map.entry("content-type", contentType));
-			headers.add(Map.entry(Answers.OUTCOME, "answered"));
-			headers.add(Map.entry(Answers.REQUEST_ID, this.record.requestId()));
+			headers.add(Map.entry(ErrorReplies.OUTCOME, "answered"));
+			headers.add(Map.entry(ErrorReplies.REQUEST_ID, this.record.requestId()));
 			if (!this.body.ignored().isEmpty()) {
 				headers.add(Map.entry("whin-ignored", String.join(",", this.body.ignored())));
 			}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/ActionOverHttpTests.java
@@ -16,7 +16,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Promises 3 and 4 through real entries, against the booking service's own counter.
+ * Tests promises 3 and 4 through real entries against the counter of the booking service.
  */
 class ActionOverHttpTests {
 
@@ -33,17 +33,17 @@
 	}
 
 	@AfterEach
-	void heal() {
+	void resetFaults() {
 		system.store().fault(Fault.NONE);
 		system.booking().nextFault(BookingServer.Fault.NONE);
-		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/readyz").status() == 200);
+		LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/readyz").status() == 200);
 	}
 
-	// A clerk's client sends the same booking to two entries at the same time, ten times.
-	// One runs it; every other is told the first answer, or that it is in doubt.
+	// Ten concurrent requests send the same booking to two entries. One runs it; every
+	// other receives the first answer or the outcome "unknown".
 	@Test
-	void theSameKeyAtTwoEntriesAtTheSameTimeRunsOnce() {
-		List<CompletableFuture<HttpProbe.Answer>> answers = IntStream.range(0, 10)
+	void concurrentRequestsWithOneKeyAtTwoEntriesRunOnce() {
+		List<CompletableFuture<HttpTestClient.Response>> answers = IntStream.range(0, 10)
 			.mapToObj((i) -> CompletableFuture.supplyAsync(() -> book(i % 2, "twice", "twice-slot")))
 			.toList();
 		assertThat(answers).allSatisfy((answer) -> assertThat(answer.join().outcome()).isIn("answered", "unknown"));
@@ -52,9 +52,9 @@
 	}
 
 	@Test
-	void withThePlatformDownABookingIsTrulyNotRun() {
+	void duringAPlatformOutageABookingIsReportedAsNotRunAndDoesNotRun() {
 		system.store().fault(Fault.OUTAGE);
-		HttpProbe.Answer answer = book(0, "outage", "outage-slot");
+		HttpTestClient.Response answer = book(0, "outage", "outage-slot");
 		assertThat(answer.status()).isEqualTo(503);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 		assertThat(answer.header("retry-after")).isPresent();
@@ -63,11 +63,11 @@
 		assertThat(book(1, "outage", "outage-slot").status()).isEqualTo(201);
 	}
 
-	// The claim's write takes effect and its reply is lost; then the platform is down.
-	// The
-	// caller is told "not run", and the booking must still be possible later, anywhere.
+	// Guards against a booking that stays blocked: the write of the claim takes effect,
+	// its reply is lost and the platform becomes unavailable. The caller receives
+	// "not-run", so the booking must still be possible later at any entry.
 	@Test
-	void aClaimWhoseReplyWasLostDoesNotBlockTheBookingForGood() {
+	void aClaimWhoseReplyWasLostDoesNotBlockTheBookingPermanently() {
 		system.store().fault(Fault.LOST_REPLY_THEN_OUTAGE);
 		assertThat(book(0, "lost", "lost-slot").outcome()).isEqualTo("not-run");
 		system.store().fault(Fault.NONE);
@@ -75,23 +75,24 @@
 		assertThat(system.booking().runs("lost-slot")).isEqualTo(1);
 	}
 
-	// The upstream runs the booking and its connection breaks before the answer. Nobody
-	// can tell whether it ran: the caller hears "unknown", and a repeat is not sent.
+	// The upstream runs the booking and its connection breaks before the response, so the
+	// outcome cannot be determined: the caller receives "unknown", and a repetition is
+	// not sent.
 	@Test
-	void aBookingWhoseAnswerWasCutIsUnknownAndNeverSentAgain() {
+	void aBookingWhoseResponseWasLostIsUnknownAndNeverSentAgain() {
 		system.booking().nextFault(BookingServer.Fault.BREAK_AFTER_RUN);
 		assertThat(book(0, "cut", "cut-slot").outcome()).isEqualTo("unknown");
-		HttpProbe.Answer repeat = book(1, "cut", "cut-slot");
+		HttpTestClient.Response repeat = book(1, "cut", "cut-slot");
 		assertThat(repeat.status()).isEqualTo(409);
 		assertThat(repeat.outcome()).isEqualTo("unknown");
 		assertThat(system.booking().runs("cut-slot")).isEqualTo(1);
 	}
 
 	@Test
-	void aBookingWithoutAKeyIsWrittenOnceAlthoughOtherUpstreamsAreThere() {
+	void aBookingWithoutAKeyIsWrittenOnceAlthoughOtherUpstreamsExist() {
 		system.booking().nextFault(BookingServer.Fault.BREAK_AFTER_RUN);
-		HttpProbe.Answer answer = HttpProbe.post(system.entry(0).callerPort(), "/services/booking-api/bookings",
-				"keyless-slot", "authorization", "Bearer key-1");
+		HttpTestClient.Response answer = HttpTestClient.post(system.entry(0).callerPort(),
+				"/services/booking-api/bookings", "keyless-slot", "authorization", "Bearer key-1");
 		assertThat(answer.outcome()).isEqualTo("unknown");
 		assertThat(system.booking().runs("keyless-slot")).isEqualTo(1);
 	}
@@ -99,22 +100,22 @@
 	@Test
 	void aKeyUsedWithAnotherBodyIsRefusedAndNotRun() {
 		book(0, "reused", "first-slot");
-		HttpProbe.Answer answer = book(1, "reused", "second-slot");
+		HttpTestClient.Response answer = book(1, "reused", "second-slot");
 		assertThat(answer.status()).isEqualTo(422);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 		assertThat(system.booking().runs("second-slot")).isZero();
 	}
 
 	// Two of three upstreams refuse connections. No byte was written to them, so trying
-	// the next is no repetition.
+	// the next one is not a repetition.
 	@Test
-	void anUpstreamThatRefusesConnectionsIsPassedOverBeforeAnythingIsWritten() {
+	void anUpstreamThatRefusesConnectionsIsSkipped() {
 		Instance dead = new Instance("booking-poa-a", "booking-api", "127.0.0.1:1", "poa-a", "", false);
 		Instance alsoDead = new Instance("booking-poa-b", "booking-api", "127.0.0.1:1", "poa-b", "", false);
 		List<Instance> before = List.of(instance("booking-poa-a"), instance("booking-poa-b"));
 		system.store().putInstance(dead);
 		system.store().putInstance(alsoDead);
-		LocalSystem.await(() -> HttpProbe.get(system.entry(0).operatorPort(), "/upstreams")
+		LocalSystem.await(() -> HttpTestClient.get(system.entry(0).operatorPort(), "/upstreams")
 			.body()
 			.split("127.0.0.1:1\"").length > 2);
 		for (int i = 0; i < 8; i++) {
@@ -132,8 +133,8 @@
 			.orElseThrow();
 	}
 
-	private static HttpProbe.Answer book(int entry, String key, String slot) {
-		return HttpProbe.book(system.entry(entry).callerPort(), "key-1", key, slot);
+	private static HttpTestClient.Response book(int entry, String key, String slot) {
+		return HttpTestClient.book(system.entry(entry).callerPort(), "key-1", key, slot);
 	}
 
 }
