--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
@@ -129,8 +129,8 @@
 		Load(BenchFleet fleet) {
 			this.fleet = fleet;
 			for (int i = 0; i < BenchFleet.ENTRIES; i++) {
-				this.drafts.add(new AdmissionQueue(ConcurrencyLimit.learned(256), 256));
-				this.calls.add(new AdmissionQueue(ConcurrencyLimit.learned(64), 64));
+				this.drafts.add(new AdmissionQueue(ConcurrencyLimit.adaptive(256), 256));
+				this.calls.add(new AdmissionQueue(ConcurrencyLimit.adaptive(64), 64));
 			}
 		}
 
@@ -190,10 +190,10 @@
 				return ticket instanceof Ticket.Admitted;
 			}
 			try {
-				return waiting.turn().get(AdmissionQueue.waitMs(DEADLINE_MS), TimeUnit.MILLISECONDS);
+				return waiting.admitted().get(AdmissionQueue.waitMs(DEADLINE_MS), TimeUnit.MILLISECONDS);
 			}
 			catch (TimeoutException ex) {
-				return !queue.giveUp(team, waiting);
+				return !queue.cancel(team, waiting);
 			}
 			catch (InterruptedException | ExecutionException ex) {
 				throw new IllegalStateException(ex);
@@ -217,7 +217,8 @@
 			public void token(String token) {
 				long nowNs = System.nanoTime();
 				this.count++;
-				this.queue.paced(nowNs / 1_000_000, (nowNs - this.enteredNs) / 1e6 * TOKENS / this.count, DEADLINE_MS);
+				this.queue.recordProgress(nowNs / 1_000_000, (nowNs - this.enteredNs) / 1e6 * TOKENS / this.count,
+						DEADLINE_MS);
 			}
 
 			@Override
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -18,7 +18,7 @@
 import io.whinjunction.http.server.Exchange;
 import io.whinjunction.http.server.Reply;
 import io.whinjunction.http.server.Request;
-import io.whinjunction.once.ActionClaims.Claimed;
+import io.whinjunction.once.ActionClaims.ClaimResult;
 import io.whinjunction.once.ActionName;
 import io.whinjunction.once.Claim;
 import io.whinjunction.once.StoredAnswer;
@@ -80,7 +80,7 @@
 		}
 		finally {
 			long nowMs = this.context.ticker().nowMs();
-			this.context.calls().paced(nowMs, nowMs - enteredMs, service.callTimeoutMs());
+			this.context.calls().recordProgress(nowMs, nowMs - enteredMs, service.callTimeoutMs());
 			this.context.calls().leave(passed.team().name(), nowMs - enteredMs, nowMs);
 		}
 	}
@@ -108,21 +108,21 @@
 		String bodyHash = ActionName.sha256(request.method().getBytes(StandardCharsets.UTF_8),
 				call.target.getBytes(StandardCharsets.UTF_8), request.body());
 		Span span = this.context.tracing().part(call.record.span(), "claim");
-		Claimed claimed = this.context.claims().claim(action, bodyHash);
+		ClaimResult claimed = this.context.claims().claim(action, bodyHash);
 		span.end();
 		return switch (claimed) {
-			case Claimed.Mine mine -> sendClaimed(call, mine.claim());
-			case Claimed.Answered answered -> replay(call, answered.answer());
-			case Claimed.InDoubt ignored -> unknown(call,
+			case ClaimResult.Acquired mine -> sendClaimed(call, mine.claim());
+			case ClaimResult.Answered answered -> replay(call, answered.answer());
+			case ClaimResult.InDoubt ignored -> unknown(call,
 					Refusal.temporary(Code.ACTION_IN_DOUBT,
 							"The first request with this idempotency-key is running, or its fate is unknown; "
 									+ "it is never sent again.",
 							RETRY_AFTER_S));
-			case Claimed.OtherBody ignored ->
+			case ClaimResult.BodyMismatch ignored ->
 				notRun(call.exchange, call.record, Refusal.permanent(Code.IDEMPOTENCY_KEY_REUSED,
 						"This idempotency-key was used with another method, path or body."));
-			case Claimed.StoreDown ignored -> platformDown(call);
-			case Claimed.NotThere ignored -> platformDown(call);
+			case ClaimResult.StoreUnavailable ignored -> platformDown(call);
+			case ClaimResult.NotFound ignored -> platformDown(call);
 		};
 	}
 
@@ -135,8 +135,8 @@
 		CallOutcome outcome = send(call, false);
 		switch (outcome) {
 			case CallOutcome.Answered answered -> this.context.claims()
-				.answered(claim, new StoredAnswer(answered.response().status(), passed(answered.response().headers()),
-						answered.response().body()));
+				.recordAnswer(claim, new StoredAnswer(answered.response().status(),
+						passed(answered.response().headers()), answered.response().body()));
 			case CallOutcome.NotSent ignored -> this.context.claims().release(claim);
 			case CallOutcome.Lost ignored -> {
 				// The claim stays without an answer, so that no entry sends this action
@@ -162,7 +162,7 @@
 	// Tries one upstream after the other, as long as the retry budget permits. After a
 	// byte of the call may have been written, only repeatable calls are retried.
 	private CallOutcome send(PendingCall call, boolean repeatable) {
-		this.context.budget().requested();
+		this.context.budget().recordRequest();
 		Set<String> avoided = new HashSet<>();
 		boolean lost = false;
 		while (true) {
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -130,7 +130,7 @@
 		}
 		long nowMs = this.router.nowMs();
 		if (nowMs - limit.shareAtMs >= SHARE_VALID_MS) {
-			limit.rate.set(share(upstream, limit.perSecond), nowMs);
+			limit.rate.setRate(share(upstream, limit.perSecond), nowMs);
 			limit.shareAtMs = nowMs;
 		}
 		return limit.rate.ready(nowMs);
