--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -255,7 +255,7 @@
 	}
 
 	private ChainResult result() {
-		ChainResult result = new ChainResult(this.fleet.pauseAimMs());
+		ChainResult result = new ChainResult(this.fleet.pauseTargetMs());
 		this.streams.forEach(result::add);
 		return result;
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
@@ -19,10 +19,10 @@
  * @param name its name in results
  * @param model the model, with the figures that the users publish for theirs
  * @param mix the kinds of engines, repeated in this order in each failure domain
- * @param pauseAimMs the longest pause between events that callers are promised, in
+ * @param pauseTargetMs the longest pause between events that callers are promised, in
  * milliseconds
  */
-record ChainFleet(String name, ModelProfile model, List<EngineKind> mix, double pauseAimMs) {
+record ChainFleet(String name, ModelProfile model, List<EngineKind> mix, double pauseTargetMs) {
 
 	private static final EngineKind LARGE = new EngineKind("large", 72_000, 2.4, 3.2);
 
