--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -65,7 +65,7 @@
 		this.policy = policy;
 		this.scenario = scenario;
 		this.random = new Random(scenario.seed());
-		for (Engine engine : ChainFleet.carriedOut(empty, policy.place(empty))) {
+		for (Engine engine : ChainFleet.withPlacements(empty, policy.place(empty))) {
 			this.stations.put(engine.id(), new Station(engine));
 		}
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
@@ -83,7 +83,7 @@
 	 * @return the same engines, with layers
 	 */
 	List<Engine> placed(List<Engine> engines) {
-		return carriedOut(engines, LayerPlanner.plan(this.model, engines));
+		return withPlacements(engines, LayerPlanner.plan(this.model, engines));
 	}
 
 	/**
@@ -92,7 +92,7 @@
 	 * @param placements what they should hold
 	 * @return the engines after
 	 */
-	static List<Engine> carriedOut(List<Engine> engines, List<Placement> placements) {
+	static List<Engine> withPlacements(List<Engine> engines, List<Placement> placements) {
 		Map<String, Placement> byEngine = new HashMap<>();
 		placements.forEach((placement) -> byEngine.put(placement.engine().id(), placement));
 		return engines.stream()
