--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -248,7 +248,7 @@
 			double loadMs = ChainEmulator.this.fleet.model().loadSeconds() * 1000 * added
 					/ ChainEmulator.this.fleet.model().layers();
 			at(this.nowMs + loadMs, () -> {
-				station.engine = ChainFleet.holding(station.engine, placement);
+				station.engine = ChainFleet.withPlacement(station.engine, placement);
 				this.holders = null;
 			});
 		}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
@@ -96,7 +96,7 @@
 		Map<String, Placement> byEngine = new HashMap<>();
 		placements.forEach((placement) -> byEngine.put(placement.engine().id(), placement));
 		return engines.stream()
-			.map((engine) -> byEngine.containsKey(engine.id()) ? holding(engine, byEngine.get(engine.id())) : engine)
+			.map((engine) -> byEngine.containsKey(engine.id()) ? withPlacement(engine, byEngine.get(engine.id())) : engine)
 			.toList();
 	}
 
@@ -106,7 +106,7 @@
 	 * @param placement what it should hold
 	 * @return the engine after
 	 */
-	static Engine holding(Engine engine, Placement placement) {
+	static Engine withPlacement(Engine engine, Placement placement) {
 		return new Engine(engine.id(), engine.address(), engine.failureDomain(), engine.kind(), placement.layers(),
 				engine.leaving());
 	}
