--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBench.java
@@ -40,7 +40,7 @@
 
 	private void run(Report report, ChainFleet fleet, Size size) {
 		String row = "chains.%s.%d.".formatted(fleet.name(), size.perDomain());
-		List<Engine> empty = fleet.empty(size.domains(), size.perDomain());
+		List<Engine> empty = fleet.emptyEngines(size.domains(), size.perDomain());
 		double capacity = capacity(fleet.model(), empty);
 		report.put(row + "capacity", "requests/s", capacity);
 		report.put(row + "flow-bound", "requests/s", ChainBound.requestsPerSecond(fleet.model(), fleet.placed(empty)));
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
@@ -65,7 +65,7 @@
 	 * @param perDomain how many engines each of them has
 	 * @return the engines
 	 */
-	List<Engine> empty(int domains, int perDomain) {
+	List<Engine> emptyEngines(int domains, int perDomain) {
 		List<Engine> engines = new ArrayList<>();
 		for (int domain = 0; domain < domains; domain++) {
 			for (int index = 0; index < perDomain; index++) {
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
@@ -40,7 +40,7 @@
 
 	private void measure(Report report, int domains, int perDomain) {
 		String size = "." + domains + "x" + perDomain;
-		List<Engine> empty = ChainFleet.MIDDLING.empty(domains, perDomain);
+		List<Engine> empty = ChainFleet.MIDDLING.emptyEngines(domains, perDomain);
 		report.put("chain-first-plan" + size, "us",
 				micros(() -> this.sink = LayerPlanner.plan(ChainFleet.MIDDLING.model(), empty)));
 		List<Engine> placed = ChainFleet.MIDDLING.placed(empty);
