--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBench.java
@@ -43,7 +43,7 @@
 		List<Engine> empty = fleet.emptyEngines(size.domains(), size.perDomain());
 		double capacity = capacity(fleet.model(), empty);
 		report.put(row + "capacity", "requests/s", capacity);
-		report.put(row + "flow-bound", "requests/s", ChainBound.requestsPerSecond(fleet.model(), fleet.placed(empty)));
+		report.put(row + "flow-bound", "requests/s", ChainBound.requestsPerSecond(fleet.model(), fleet.placedEngines(empty)));
 		scenarios(capacity, size).forEach((name, scenario) -> policies(fleet).forEach((policy, maker) -> {
 			ChainResult result = new ChainEmulator(fleet, maker.get(), empty, scenario).run();
 			report.put(row + name + "." + policy, "of the benefit", result.benefit());
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
@@ -82,7 +82,7 @@
 	 * @param engines empty engines
 	 * @return the same engines, with layers
 	 */
-	List<Engine> placed(List<Engine> engines) {
+	List<Engine> placedEngines(List<Engine> engines) {
 		return withPlacements(engines, LayerPlanner.plan(this.model, engines));
 	}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
@@ -43,7 +43,7 @@
 		List<Engine> empty = ChainFleet.MIDDLING.emptyEngines(domains, perDomain);
 		report.put("chain-first-plan" + size, "us",
 				micros(() -> this.sink = LayerPlanner.plan(ChainFleet.MIDDLING.model(), empty)));
-		List<Engine> placed = ChainFleet.MIDDLING.placed(empty);
+		List<Engine> placed = ChainFleet.MIDDLING.placedEngines(empty);
 		Engine lost = placed.stream().filter((engine) -> engine.held() != null).findFirst().orElseThrow();
 		List<Engine> holed = placed.stream().filter((engine) -> engine != lost).toList();
 		ReplicaCountCache counts = new ReplicaCountCache();
