--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -78,7 +78,7 @@
 		for (double atMs = 0; atMs < this.scenario.lengthMs(); atMs += gapMs(atMs)) {
 			at(atMs, this::arrive);
 		}
-		if (this.scenario.deaths() > 0) {
+		if (this.scenario.crashes() > 0) {
 			at(this.scenario.lengthMs() / 3, this::kill);
 		}
 		if (this.scenario.slowed() > 0) {
@@ -207,7 +207,7 @@
 			.filter((station) -> station.engine.held() != null)
 			.sorted(Comparator.comparing((station) -> station.engine.id()))
 			.toList();
-		for (int count = 0; count < this.scenario.deaths(); count++) {
+		for (int count = 0; count < this.scenario.crashes(); count++) {
 			Station station = holding.get(this.random.nextInt(holding.size()));
 			station.dead = true;
 			at(this.nowMs + NOTICE_MS, () -> noticed(station));
