--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -81,7 +81,7 @@
 		if (this.scenario.crashes() > 0) {
 			at(this.scenario.lengthMs() / 3, this::kill);
 		}
-		if (this.scenario.slowed() > 0) {
+		if (this.scenario.slowedEngines() > 0) {
 			at(this.scenario.lengthMs() / 3, this::slow);
 		}
 		while (!this.events.isEmpty()) {
@@ -220,7 +220,7 @@
 			.stream()
 			.filter((station) -> station.engine.held() != null)
 			.sorted(Comparator.comparing((station) -> station.engine.id()))
-			.limit(this.scenario.slowed())
+			.limit(this.scenario.slowedEngines())
 			.forEach((station) -> station.pace = 5);
 	}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
@@ -8,11 +8,11 @@
  * @param requestsPerSecond requests a second in all
  * @param burst how many times more come in the fourth sixth of it
  * @param crashes engines that die after a third of it
- * @param slowed engines that work five times slower from then on
+ * @param slowedEngines engines that work five times slower from then on
  * @param lagMs how old at most is what routers know of loads, in milliseconds
  * @param lengthMs how long requests come, in milliseconds
  * @param seed the source of chance
  */
-record ChainScenario(int domains, int routers, double requestsPerSecond, double burst, int crashes, int slowed,
+record ChainScenario(int domains, int routers, double requestsPerSecond, double burst, int crashes, int slowedEngines,
 		double lagMs, double lengthMs, long seed) {
 }
