--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -75,14 +75,14 @@
 	 * @return what callers saw
 	 */
 	ChainResult run() {
-		for (double atMs = 0; atMs < this.scenario.lengthMs(); atMs += gapMs(atMs)) {
+		for (double atMs = 0; atMs < this.scenario.durationMs(); atMs += gapMs(atMs)) {
 			at(atMs, this::arrive);
 		}
 		if (this.scenario.crashes() > 0) {
-			at(this.scenario.lengthMs() / 3, this::kill);
+			at(this.scenario.durationMs() / 3, this::kill);
 		}
 		if (this.scenario.slowedEngines() > 0) {
-			at(this.scenario.lengthMs() / 3, this::slow);
+			at(this.scenario.durationMs() / 3, this::slow);
 		}
 		while (!this.events.isEmpty()) {
 			Event event = this.events.poll();
@@ -93,7 +93,7 @@
 	}
 
 	private double gapMs(double atMs) {
-		boolean burst = atMs > this.scenario.lengthMs() / 2 && atMs < this.scenario.lengthMs() * 2 / 3;
+		boolean burst = atMs > this.scenario.durationMs() / 2 && atMs < this.scenario.durationMs() * 2 / 3;
 		double rate = this.scenario.requestsPerSecond() * (burst ? this.scenario.burst() : 1);
 		return -Math.log(1 - this.random.nextDouble()) * 1000 / rate;
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
@@ -10,9 +10,9 @@
  * @param crashes engines that die after a third of it
  * @param slowedEngines engines that work five times slower from then on
  * @param lagMs how old at most is what routers know of loads, in milliseconds
- * @param lengthMs how long requests come, in milliseconds
+ * @param durationMs how long requests come, in milliseconds
  * @param seed the source of chance
  */
 record ChainScenario(int domains, int routers, double requestsPerSecond, double burst, int crashes, int slowedEngines,
-		double lagMs, double lengthMs, long seed) {
+		double lagMs, double durationMs, long seed) {
 }
