--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -94,7 +94,7 @@
 
 	private double gapMs(double atMs) {
 		boolean burst = atMs > this.scenario.durationMs() / 2 && atMs < this.scenario.durationMs() * 2 / 3;
-		double rate = this.scenario.requestsPerSecond() * (burst ? this.scenario.burst() : 1);
+		double rate = this.scenario.requestsPerSecond() * (burst ? this.scenario.burstFactor() : 1);
 		return -Math.log(1 - this.random.nextDouble()) * 1000 / rate;
 	}
 
