--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -155,7 +155,7 @@
 	// prompts that wait it knows its own only, and takes the others' for alike.
 	private Map<String, PathCosts.Load> loads(List<Engine> holders, int router) {
 		boolean allKnown = holders.stream().allMatch((engine) -> this.known.containsKey(engine.id()));
-		if (!allKnown || this.nowMs - this.knownAtMs >= this.scenario.lagMs()) {
+		if (!allKnown || this.nowMs - this.knownAtMs >= this.scenario.maxReportAgeMs()) {
 			this.known = new HashMap<>();
 			this.knownAtMs = this.nowMs;
 			holders.forEach((engine) -> this.known.put(engine.id(), this.stations.get(engine.id()).tell()));
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
@@ -9,10 +9,10 @@
  * @param burstFactor how many times more come in the fourth sixth of it
  * @param crashes engines that die after a third of it
  * @param slowedEngines engines that work five times slower from then on
- * @param lagMs how old at most is what routers know of loads, in milliseconds
+ * @param maxReportAgeMs how old at most is what routers know of loads, in milliseconds
  * @param durationMs how long requests come, in milliseconds
  * @param seed the source of chance
  */
 record ChainScenario(int domains, int routers, double requestsPerSecond, double burstFactor, int crashes, int slowedEngines,
-		double lagMs, double durationMs, long seed) {
+		double maxReportAgeMs, double durationMs, long seed) {
 }
