--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainResult.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainResult.java
@@ -32,7 +32,7 @@
 
 	void add(EmulatedStream stream) {
 		this.asked++;
-		boolean whole = stream.whole();
+		boolean whole = stream.completed();
 		boolean inTime = whole && stream.firstEventMs() <= FIRST_EVENT_AIM_MS
 				&& stream.longestPauseMs() <= this.pauseAimMs;
 		this.onTime += inTime ? 1 : 0;
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
@@ -79,7 +79,7 @@
 		this.lastEventMs = nowMs;
 	}
 
-	boolean whole() {
+	boolean completed() {
 		return this.left <= 0 && !this.failed;
 	}
 
