--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -189,7 +189,7 @@
 			return;
 		}
 		stream.token(this.nowMs);
-		if (stream.waiting()) {
+		if (stream.inProgress()) {
 			at(this.nowMs + HOP_MS, () -> arriveAt(stream, work.run(), 0));
 		}
 		else {
@@ -228,7 +228,7 @@
 		station.noticedDead = true;
 		this.holders = null;
 		for (EmulatedStream stream : this.streams) {
-			boolean waits = stream.waiting() && stream.path().stream().anyMatch((hop) -> station(hop) == station);
+			boolean waits = stream.inProgress() && stream.path().stream().anyMatch((hop) -> station(hop) == station);
 			if (waits && !(this.policy instanceof ChainPolicy.OneReplica)) {
 				release(stream);
 				send(stream);
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
@@ -83,7 +83,7 @@
 		return this.left <= 0 && !this.failed;
 	}
 
-	boolean waiting() {
+	boolean inProgress() {
 		return this.left > 0 && !this.failed;
 	}
 
