--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -127,7 +127,7 @@
 		}
 		stream.begin(path.get());
 		path.get().forEach((hop) -> station(hop).reserve(stream, hop));
-		arriveAt(stream, stream.run(), 0);
+		arriveAt(stream, stream.attempt(), 0);
 	}
 
 	private Optional<List<Hop>> choose(EmulatedStream stream) {
@@ -172,7 +172,7 @@
 	}
 
 	private void arriveAt(EmulatedStream stream, int run, int hop) {
-		if (stream.run() != run || stream.failed()) {
+		if (stream.attempt() != run || stream.failed()) {
 			return;
 		}
 		station(stream.path().get(hop)).enqueue(new Work(stream, run, hop));
@@ -180,7 +180,7 @@
 
 	private void passed(Work work) {
 		EmulatedStream stream = work.stream();
-		if (stream.run() != work.run() || stream.failed()) {
+		if (stream.attempt() != work.run() || stream.failed()) {
 			return;
 		}
 		int next = work.hop() + 1;
@@ -372,7 +372,7 @@
 		}
 
 		private void passedOrReadOn(Work work) {
-			boolean current = work.run() == work.stream().run();
+			boolean current = work.run() == work.stream().attempt();
 			if (current && !work.stream().readWhole()) {
 				this.waiting.add(work);
 				return;
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
@@ -21,7 +21,7 @@
 
 	private List<Hop> path = List.of();
 
-	private int run;
+	private int attempt;
 
 	private int left;
 
@@ -57,7 +57,7 @@
 
 	void begin(List<Hop> chosen) {
 		this.path = chosen;
-		this.run++;
+		this.attempt++;
 		this.unreadTokens = this.prompt + this.made;
 		this.readHere = 0;
 	}
@@ -107,8 +107,8 @@
 		return this.path;
 	}
 
-	int run() {
-		return this.run;
+	int attempt() {
+		return this.attempt;
 	}
 
 	int unreadTokens() {
