--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -125,7 +125,7 @@
 			stream.fail();
 			return;
 		}
-		stream.begin(path.get());
+		stream.startAttempt(path.get());
 		path.get().forEach((hop) -> station(hop).reserve(stream, hop));
 		arriveAt(stream, stream.attempt(), 0);
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
@@ -55,7 +55,7 @@
 		return this.prompt + this.made + this.left;
 	}
 
-	void begin(List<Hop> chosen) {
+	void startAttempt(List<Hop> chosen) {
 		this.path = chosen;
 		this.attempt++;
 		this.unreadTokens = this.prompt + this.made;
