--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -373,7 +373,7 @@
 
 		private void passedOrReadOn(Work work) {
 			boolean current = work.run() == work.stream().attempt();
-			if (current && !work.stream().readWhole()) {
+			if (current && !work.stream().endReadIfComplete()) {
 				this.waiting.add(work);
 				return;
 			}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
@@ -131,7 +131,7 @@
 	 * one begins anew.
 	 * @return whether the stream goes on
 	 */
-	boolean readWhole() {
+	boolean endReadIfComplete() {
 		boolean whole = this.readHere >= this.unreadTokens;
 		this.readHere = whole ? 0 : this.readHere;
 		return whole;
