--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchEngines.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchEngines.java
@@ -151,7 +151,7 @@
 			this.slowdown = factor;
 		}
 
-		void die() {
+		void crash() {
 			this.dead = true;
 		}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/RecoveryBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/RecoveryBench.java
@@ -30,7 +30,7 @@
 	private static final double STEP_LIMIT_MS = 1000;
 
 	void run(Report report) {
-		measure(report, "dies", (server) -> server.die());
+		measure(report, "dies", (server) -> server.crash());
 		measure(report, "freezes", (server) -> server.freeze(true));
 		measure(report, "slows-tenfold", (server) -> server.slowDown(10));
 		report.atMost("recovery.dies.longest-gap", 2 * STEP_LIMIT_MS);
