--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/DraftProbe.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/DraftProbe.java
@@ -34,7 +34,7 @@
 	 * @param count how many tokens
 	 * @return what the caller saw
 	 */
-	Seen draft(String address, String key, String prompt, int layers, int count) {
+	Result draft(String address, String key, String prompt, int layers, int count) {
 		long startNs = System.nanoTime();
 		String body = Json.object()
 			.put("model", "whin-llm")
@@ -82,7 +82,7 @@
 	 * @param maxGapMs the longest time between two tokens
 	 * @param totalMs from sending to the end
 	 */
-	record Seen(int status, String outcome, String requestId, boolean retryAfter, boolean whole, boolean right,
+	record Result(int status, String outcome, String requestId, boolean retryAfter, boolean whole, boolean right,
 			int tokens, double firstTokenMs, double maxGapMs, double totalMs) {
 	}
 
@@ -146,11 +146,11 @@
 			this.lastNs = nowNs;
 		}
 
-		Seen seen(List<String> expected) {
+		Result seen(List<String> expected) {
 			boolean right = this.tokens.size() <= expected.size()
 					&& this.tokens.equals(expected.subList(0, this.tokens.size()));
 			boolean whole = this.done && !this.cut && this.tokens.size() == expected.size();
-			return new Seen(this.status, this.outcome, this.requestId, this.retryAfter, whole, right,
+			return new Result(this.status, this.outcome, this.requestId, this.retryAfter, whole, right,
 					this.tokens.size(), this.firstTokenMs, this.maxGapNs / 1e6,
 					(System.nanoTime() - this.startNs) / 1e6);
 		}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ProbeCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ProbeCommand.java
@@ -35,8 +35,8 @@
 	@Override
 	public void run() {
 		DraftProbe probe = new DraftProbe();
-		List<Future<DraftProbe.Seen>> running = new ArrayList<>();
-		List<DraftProbe.Seen> seen = new ArrayList<>();
+		List<Future<DraftProbe.Result>> running = new ArrayList<>();
+		List<DraftProbe.Result> seen = new ArrayList<>();
 		try (ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
 			for (int i = 0; i < this.streams; i++) {
 				String entry = this.entries.get(i % this.entries.size());
@@ -48,18 +48,18 @@
 		System.out.println(summary(seen));
 	}
 
-	private static ObjectNode summary(List<DraftProbe.Seen> seen) {
+	private static ObjectNode summary(List<DraftProbe.Result> seen) {
 		ObjectNode node = Json.object();
 		node.put("streams", seen.size());
-		node.put("whole", seen.stream().filter(DraftProbe.Seen::whole).count());
-		node.put("right", seen.stream().filter(DraftProbe.Seen::right).count());
+		node.put("whole", seen.stream().filter(DraftProbe.Result::whole).count());
+		node.put("right", seen.stream().filter(DraftProbe.Result::right).count());
 		node.put("status", seen.get(0).status());
 		node.put("outcome", seen.get(0).outcome());
 		node.put("request_id", seen.get(0).requestId());
-		node.put("max_gap_ms", Math.round(seen.stream().mapToDouble(DraftProbe.Seen::maxGapMs).max().orElse(0)));
+		node.put("max_gap_ms", Math.round(seen.stream().mapToDouble(DraftProbe.Result::maxGapMs).max().orElse(0)));
 		node.put("first_token_ms",
-				Math.round(seen.stream().mapToDouble(DraftProbe.Seen::firstTokenMs).max().orElse(0)));
-		node.put("total_ms", Math.round(seen.stream().mapToDouble(DraftProbe.Seen::totalMs).max().orElse(0)));
+				Math.round(seen.stream().mapToDouble(DraftProbe.Result::firstTokenMs).max().orElse(0)));
+		node.put("total_ms", Math.round(seen.stream().mapToDouble(DraftProbe.Result::totalMs).max().orElse(0)));
 		return node;
 	}
 
