--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/DraftProbe.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/DraftProbe.java
@@ -75,14 +75,14 @@
 	 * @param outcome the last outcome told
 	 * @param requestId the request id
 	 * @param retryAfter whether a refusal said when to come back
-	 * @param whole whether the proper end came
+	 * @param complete whether the proper end came
 	 * @param right whether every token was the model's own
 	 * @param tokens how many came
 	 * @param firstTokenMs from sending to the first token
 	 * @param maxGapMs the longest time between two tokens
 	 * @param totalMs from sending to the end
 	 */
-	record Result(int status, String outcome, String requestId, boolean retryAfter, boolean whole, boolean right,
+	record Result(int status, String outcome, String requestId, boolean retryAfter, boolean complete, boolean right,
 			int tokens, double firstTokenMs, double maxGapMs, double totalMs) {
 	}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ProbeCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ProbeCommand.java
@@ -51,7 +51,7 @@
 	private static ObjectNode summary(List<DraftProbe.Result> seen) {
 		ObjectNode node = Json.object();
 		node.put("streams", seen.size());
-		node.put("whole", seen.stream().filter(DraftProbe.Result::whole).count());
+		node.put("whole", seen.stream().filter(DraftProbe.Result::complete).count());
 		node.put("right", seen.stream().filter(DraftProbe.Result::right).count());
 		node.put("status", seen.get(0).status());
 		node.put("outcome", seen.get(0).outcome());
