--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchCommand.java
@@ -23,7 +23,7 @@
 		if (this.out != null) {
 			report.write(Path.of(this.out));
 		}
-		if (report.broken() > 0) {
+		if (report.brokenBounds() > 0) {
 			System.exit(1);
 		}
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/Report.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/Report.java
@@ -44,7 +44,7 @@
 		bound(name, "<= %.3f x %s".formatted(factor, baseline), value(name) <= most);
 	}
 
-	int broken() {
+	int brokenBounds() {
 		return this.broken;
 	}
 
