--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
@@ -60,8 +60,8 @@
 	}
 
 	private double micros(Runnable work) {
-		SlopeBench.runFor(work, this.runMs / 2);
-		return SlopeBench.runFor(work, this.runMs);
+		SlopeBench.meanMicros(work, this.runMs / 2);
+		return SlopeBench.meanMicros(work, this.runMs);
 	}
 
 }
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/SlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/SlopeBench.java
@@ -174,11 +174,11 @@
 	}
 
 	private double micros(Runnable work) {
-		runFor(work, this.runMs / 2);
-		return runFor(work, this.runMs);
+		meanMicros(work, this.runMs / 2);
+		return meanMicros(work, this.runMs);
 	}
 
-	static double runFor(Runnable work, long durationMs) {
+	static double meanMicros(Runnable work, long durationMs) {
 		long startNs = System.nanoTime();
 		long endNs = startNs + durationMs * 1_000_000;
 		long runs = 0;
