--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainEmulator.java
@@ -17,23 +17,24 @@
 import io.whinjunction.chain.Placement;
 
 /**
- * Engines, streams and routers in virtual time, by the engines' published figures: what
- * came during one pass is served by the next; a pass takes its layers' fixed time and
- * more for each token and prompt; an engine that has no room puts a request back.
+ * Discrete-event simulation of engines, streams and routers in virtual time, based on the
+ * published figures of the engines. Work that arrives during a pass is served by the next
+ * one. A pass takes the fixed time of its layers, and more for each token and each
+ * prompt. An engine without free memory rejects a request.
  * <p>
- * Invariant: the same seed gives the same run. Confined to one thread.
+ * Invariant: runs with the same seed are identical. Confined to one thread.
  */
 final class ChainEmulator {
 
 	private static final double HOP_MS = 0.2;
 
-	/** From a death to the moment at which streams go on elsewhere, in milliseconds. */
-	private static final double NOTICE_MS = 180;
+	/** Time from a crash to the failover of its streams, in milliseconds. */
+	private static final double DETECTION_MS = 180;
 
-	/** From a death to the orders that repair it, in milliseconds. */
-	private static final double ORDER_MS = 350;
+	/** Time from a crash to the orders that repair the plan, in milliseconds. */
+	private static final double REPAIR_ORDER_MS = 350;
 
-	private static final int CHUNK_TOKENS = 512;
+	private static final int MAX_CHUNK_TOKENS = 512;
 
 	private final ChainFleet fleet;
 
@@ -49,16 +50,16 @@
 
 	private final List<EmulatedStream> streams = new ArrayList<>();
 
-	/** Room that was taken when routers last heard of each other, by engine. */
-	private Map<String, Double> known = Map.of();
+	/** Memory reserved at the last exchange of loads between routers, by engine id. */
+	private Map<String, Double> reportedTokenLayers = Map.of();
 
 	private List<Engine> holders;
 
-	private double knownAtMs = Double.NEGATIVE_INFINITY;
+	private double reportedAtMs = Double.NEGATIVE_INFINITY;
 
 	private double nowMs;
 
-	private long order;
+	private long sequence;
 
 	ChainEmulator(ChainFleet fleet, ChainPolicy policy, List<Engine> empty, ChainScenario scenario) {
 		this.fleet = fleet;
@@ -71,18 +72,18 @@
 	}
 
 	/**
-	 * Plays the scenario.
-	 * @return what callers saw
+	 * Runs the scenario.
+	 * @return the results of its streams
 	 */
 	ChainResult run() {
-		for (double atMs = 0; atMs < this.scenario.durationMs(); atMs += gapMs(atMs)) {
-			at(atMs, this::arrive);
+		for (double atMs = 0; atMs < this.scenario.durationMs(); atMs += interarrivalMs(atMs)) {
+			schedule(atMs, this::sendNewRequest);
 		}
 		if (this.scenario.crashes() > 0) {
-			at(this.scenario.durationMs() / 3, this::kill);
+			schedule(this.scenario.durationMs() / 3, this::crashEngines);
 		}
 		if (this.scenario.slowedEngines() > 0) {
-			at(this.scenario.durationMs() / 3, this::slow);
+			schedule(this.scenario.durationMs() / 3, this::slowEngines);
 		}
 		while (!this.events.isEmpty()) {
 			Event event = this.events.poll();
@@ -92,21 +93,21 @@
 		return result();
 	}
 
-	private double gapMs(double atMs) {
+	private double interarrivalMs(double atMs) {
 		boolean burst = atMs > this.scenario.durationMs() / 2 && atMs < this.scenario.durationMs() * 2 / 3;
 		double rate = this.scenario.requestsPerSecond() * (burst ? this.scenario.burstFactor() : 1);
 		return -Math.log(1 - this.random.nextDouble()) * 1000 / rate;
 	}
 
-	private void at(double atMs, Runnable action) {
-		this.events.add(new Event(atMs, this.order++, action));
+	private void schedule(double atMs, Runnable action) {
+		this.events.add(new Event(atMs, this.sequence++, action));
 	}
 
-	private void arrive() {
-		int usualPrompt = this.fleet.model().meanPromptTokens();
-		int usualAnswer = this.fleet.model().meanAnswerTokens();
-		int prompt = (int) Math.clamp(-Math.log(1 - this.random.nextDouble()) * usualPrompt, 20, 3 * usualPrompt);
-		int answer = (int) Math.clamp(-Math.log(1 - this.random.nextDouble()) * usualAnswer, 8, 3 * usualAnswer);
+	private void sendNewRequest() {
+		int meanPrompt = this.fleet.model().meanPromptTokens();
+		int meanAnswer = this.fleet.model().meanAnswerTokens();
+		int prompt = (int) Math.clamp(-Math.log(1 - this.random.nextDouble()) * meanPrompt, 20, 3 * meanPrompt);
+		int answer = (int) Math.clamp(-Math.log(1 - this.random.nextDouble()) * meanAnswer, 8, 3 * meanAnswer);
 		EmulatedStream stream = new EmulatedStream("d" + this.random.nextInt(this.scenario.domains()),
 				this.random.nextInt(this.scenario.routers()), prompt, answer, this.fleet.model().stepsPerPass(),
 				this.nowMs);
@@ -117,8 +118,8 @@
 	private void send(EmulatedStream stream) {
 		Optional<List<Hop>> path = choose(stream);
 		if (path.isPresent() && !fits(stream, path.get())) {
-			// An engine without room says so, and the router looks again.
-			this.knownAtMs = Double.NEGATIVE_INFINITY;
+			// The engine rejects the request; the router chooses again by current loads.
+			this.reportedAtMs = Double.NEGATIVE_INFINITY;
 			path = choose(stream);
 		}
 		if (path.isEmpty() || !fits(stream, path.get())) {
@@ -127,7 +128,7 @@
 		}
 		stream.startAttempt(path.get());
 		path.get().forEach((hop) -> station(hop).reserve(stream, hop));
-		arriveAt(stream, stream.attempt(), 0);
+		enqueueAt(stream, stream.attempt(), 0);
 	}
 
 	private Optional<List<Hop>> choose(EmulatedStream stream) {
@@ -143,7 +144,7 @@
 		if (this.holders == null) {
 			this.holders = this.stations.values()
 				.stream()
-				.filter((station) -> !station.noticedDead && station.engine.held() != null)
+				.filter((station) -> !station.crashDetected && station.engine.held() != null)
 				.map((station) -> station.engine)
 				.sorted(Comparator.comparing(Engine::id))
 				.toList();
@@ -151,18 +152,21 @@
 		return this.holders;
 	}
 
-	// A router knows its own requests at once and the others' as of their last words; of
-	// prompts that wait it knows its own only, and takes the others' for alike.
+	// A router tracks its own requests immediately and those of its peers as of their
+	// last reports. Of queued prompts it tracks its own only, and assumes that each of
+	// its peers has as many.
 	private Map<String, PathCosts.Load> loads(List<Engine> holders, int router) {
-		boolean allKnown = holders.stream().allMatch((engine) -> this.known.containsKey(engine.id()));
-		if (!allKnown || this.nowMs - this.knownAtMs >= this.scenario.maxReportAgeMs()) {
-			this.known = new HashMap<>();
-			this.knownAtMs = this.nowMs;
-			holders.forEach((engine) -> this.known.put(engine.id(), this.stations.get(engine.id()).tell()));
+		boolean allReported = holders.stream().allMatch((engine) -> this.reportedTokenLayers.containsKey(engine.id()));
+		if (!allReported || this.nowMs - this.reportedAtMs >= this.scenario.maxReportAgeMs()) {
+			this.reportedTokenLayers = new HashMap<>();
+			this.reportedAtMs = this.nowMs;
+			holders.forEach(
+					(engine) -> this.reportedTokenLayers.put(engine.id(), this.stations.get(engine.id()).report()));
 		}
 		Map<String, PathCosts.Load> loads = new HashMap<>();
 		for (Engine engine : holders) {
-			loads.put(engine.id(), this.stations.get(engine.id()).load(this.known.get(engine.id()), router));
+			loads.put(engine.id(),
+					this.stations.get(engine.id()).load(this.reportedTokenLayers.get(engine.id()), router));
 		}
 		return loads;
 	}
@@ -171,26 +175,26 @@
 		return this.stations.get(hop.engine().id());
 	}
 
-	private void arriveAt(EmulatedStream stream, int run, int hop) {
-		if (stream.attempt() != run || stream.failed()) {
+	private void enqueueAt(EmulatedStream stream, int attempt, int hop) {
+		if (stream.attempt() != attempt || stream.failed()) {
 			return;
 		}
-		station(stream.path().get(hop)).enqueue(new Work(stream, run, hop));
+		station(stream.path().get(hop)).enqueue(new Work(stream, attempt, hop));
 	}
 
-	private void passed(Work work) {
+	private void finishHop(Work work) {
 		EmulatedStream stream = work.stream();
-		if (stream.attempt() != work.run() || stream.failed()) {
+		if (stream.attempt() != work.attempt() || stream.failed()) {
 			return;
 		}
 		int next = work.hop() + 1;
 		if (next < stream.path().size()) {
-			at(this.nowMs + HOP_MS, () -> arriveAt(stream, work.run(), next));
+			schedule(this.nowMs + HOP_MS, () -> enqueueAt(stream, work.attempt(), next));
 			return;
 		}
 		stream.token(this.nowMs);
 		if (stream.inProgress()) {
-			at(this.nowMs + HOP_MS, () -> arriveAt(stream, work.run(), 0));
+			schedule(this.nowMs + HOP_MS, () -> enqueueAt(stream, work.attempt(), 0));
 		}
 		else {
 			release(stream);
@@ -201,7 +205,7 @@
 		stream.path().forEach((hop) -> station(hop).free(stream, hop));
 	}
 
-	private void kill() {
+	private void crashEngines() {
 		List<Station> holding = this.stations.values()
 			.stream()
 			.filter((station) -> station.engine.held() != null)
@@ -209,27 +213,27 @@
 			.toList();
 		for (int count = 0; count < this.scenario.crashes(); count++) {
 			Station station = holding.get(this.random.nextInt(holding.size()));
-			station.dead = true;
-			at(this.nowMs + NOTICE_MS, () -> noticed(station));
+			station.crashed = true;
+			schedule(this.nowMs + DETECTION_MS, () -> failOver(station));
 		}
-		at(this.nowMs + ORDER_MS, this::repair);
+		schedule(this.nowMs + REPAIR_ORDER_MS, this::repair);
 	}
 
-	private void slow() {
+	private void slowEngines() {
 		this.stations.values()
 			.stream()
 			.filter((station) -> station.engine.held() != null)
 			.sorted(Comparator.comparing((station) -> station.engine.id()))
 			.limit(this.scenario.slowedEngines())
-			.forEach((station) -> station.pace = 5);
+			.forEach((station) -> station.slowdown = 5);
 	}
 
-	private void noticed(Station station) {
-		station.noticedDead = true;
+	private void failOver(Station station) {
+		station.crashDetected = true;
 		this.holders = null;
 		for (EmulatedStream stream : this.streams) {
-			boolean waits = stream.inProgress() && stream.path().stream().anyMatch((hop) -> station(hop) == station);
-			if (waits && !(this.policy instanceof ChainPolicy.OneReplica)) {
+			boolean affected = stream.inProgress() && stream.path().stream().anyMatch((hop) -> station(hop) == station);
+			if (affected && !(this.policy instanceof ChainPolicy.OneReplica)) {
 				release(stream);
 				send(stream);
 			}
@@ -237,17 +241,17 @@
 	}
 
 	private void repair() {
-		List<Engine> living = this.stations.values()
+		List<Engine> alive = this.stations.values()
 			.stream()
-			.filter((station) -> !station.dead)
+			.filter((station) -> !station.crashed)
 			.map((station) -> station.engine)
 			.toList();
-		for (Placement placement : this.policy.repair(living)) {
+		for (Placement placement : this.policy.repair(alive)) {
 			Station station = this.stations.get(placement.engine().id());
 			int added = placement.layers().end() - placement.layers().first() - station.engine.heldLayers();
 			double loadMs = ChainEmulator.this.fleet.model().loadSeconds() * 1000 * added
 					/ ChainEmulator.this.fleet.model().layers();
-			at(this.nowMs + loadMs, () -> {
+			schedule(this.nowMs + loadMs, () -> {
 				station.engine = ChainFleet.withPlacement(station.engine, placement);
 				this.holders = null;
 			});
@@ -260,20 +264,20 @@
 		return result;
 	}
 
-	private record Event(double atMs, long order, Runnable action) implements Comparable<Event> {
+	private record Event(double atMs, long sequence, Runnable action) implements Comparable<Event> {
 
 		@Override
 		public int compareTo(Event other) {
 			int byTime = Double.compare(this.atMs, other.atMs);
-			return (byTime != 0) ? byTime : Long.compare(this.order, other.order);
+			return (byTime != 0) ? byTime : Long.compare(this.sequence, other.sequence);
 		}
 
 	}
 
-	private record Work(EmulatedStream stream, int run, int hop) {
+	private record Work(EmulatedStream stream, int attempt, int hop) {
 	}
 
-	/** An engine at work; confined to the emulator. */
+	/** Queue, passes and memory of one engine. Confined to the emulator. */
 	private final class Station {
 
 		private Engine engine;
@@ -282,16 +286,16 @@
 
 		private boolean working;
 
-		private boolean dead;
+		private boolean crashed;
 
-		private boolean noticedDead;
+		private boolean crashDetected;
 
-		private double pace = 1;
+		private double slowdown = 1;
 
 		private double usedTokenLayers;
 
-		/** Room that each router has taken since it last told the others. */
-		private final double[] untold = new double[ChainEmulator.this.scenario.routers()];
+		/** Memory that each router has reserved since its last report to its peers. */
+		private final double[] unreportedTokenLayers = new double[ChainEmulator.this.scenario.routers()];
 
 		private final double[] unreadTokens = new double[ChainEmulator.this.scenario.routers()];
 
@@ -302,12 +306,12 @@
 		void reserve(EmulatedStream stream, Hop hop) {
 			double taken = stream.tokens() * (double) (hop.layers().end() - hop.layers().first());
 			this.usedTokenLayers += taken;
-			this.untold[stream.router()] += taken;
+			this.unreportedTokenLayers[stream.router()] += taken;
 			this.unreadTokens[stream.router()] += stream.unreadTokens();
 		}
 
-		double tell() {
-			Arrays.fill(this.untold, 0);
+		double report() {
+			Arrays.fill(this.unreportedTokenLayers, 0);
 			return this.usedTokenLayers;
 		}
 
@@ -322,22 +326,23 @@
 			this.usedTokenLayers -= stream.tokens() * (double) (hop.layers().end() - hop.layers().first());
 		}
 
-		PathCosts.Load load(double told, int router) {
+		PathCosts.Load load(double reported, int router) {
 			double room = ChainEmulator.this.fleet.model()
 				.kvCapacityTokenLayers(this.engine.kind(), this.engine.heldLayers());
-			double unread = Math.max(0, this.unreadTokens[router]) * this.untold.length;
-			return new PathCosts.Load((told + this.untold[router]) / Math.max(1, room), unread, this.pace, false);
+			double unread = Math.max(0, this.unreadTokens[router]) * this.unreportedTokenLayers.length;
+			return new PathCosts.Load((reported + this.unreportedTokenLayers[router]) / Math.max(1, room), unread,
+					this.slowdown, false);
 		}
 
 		void enqueue(Work work) {
 			this.waiting.add(work);
 			if (!this.working) {
-				pass();
+				startPass();
 			}
 		}
 
-		private void pass() {
-			this.working = !this.waiting.isEmpty() && !this.dead;
+		private void startPass() {
+			this.working = !this.waiting.isEmpty() && !this.crashed;
 			if (!this.working) {
 				return;
 			}
@@ -353,12 +358,12 @@
 				passMs += ChainEmulator.this.fleet.model().readMs(this.engine.kind(), held, read(work));
 			}
 			passMs += layers * ChainEmulator.this.fleet.model().layerStepMs(this.engine.kind(), 0);
-			at(ChainEmulator.this.nowMs + passMs * this.pace, () -> finish(batch));
+			schedule(ChainEmulator.this.nowMs + passMs * this.slowdown, () -> finishPass(batch));
 		}
 
-		// A pass reads no more than a chunk of a prompt; the rest waits for the next.
+		// A pass reads at most one chunk of a prompt; the rest is left to later passes.
 		private int read(Work work) {
-			int read = work.stream().read(CHUNK_TOKENS);
+			int read = work.stream().read(MAX_CHUNK_TOKENS);
 			this.unreadTokens[work.stream().router()] -= read;
 			return read;
 		}
@@ -371,20 +376,20 @@
 			return hop.layers().end() - hop.layers().first();
 		}
 
-		private void passedOrReadOn(Work work) {
-			boolean current = work.run() == work.stream().attempt();
+		private void completeOrContinueRead(Work work) {
+			boolean current = work.attempt() == work.stream().attempt();
 			if (current && !work.stream().endReadIfComplete()) {
 				this.waiting.add(work);
 				return;
 			}
-			passed(work);
+			finishHop(work);
 		}
 
-		private void finish(List<Work> batch) {
-			if (!this.dead) {
-				batch.forEach(this::passedOrReadOn);
+		private void finishPass(List<Work> batch) {
+			if (!this.crashed) {
+				batch.forEach(this::completeOrContinueRead);
 				this.working = false;
-				pass();
+				startPass();
 			}
 		}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainResult.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainResult.java
@@ -1,66 +1,67 @@
 package io.whinjunction.bench;
 
 /**
- * What callers of emulated chains saw. Confined to one thread.
+ * Results of emulated chains as seen by callers. Confined to one thread.
  */
 final class ChainResult {
 
-	private static final double FIRST_EVENT_AIM_MS = 500;
+	private static final double FIRST_EVENT_TARGET_MS = 500;
 
-	private final double pauseAimMs;
+	private final double pauseTargetMs;
 
-	/** Callers leave a stream after a pause of this length, in milliseconds. */
-	private static final double PATIENCE_MS = 2000;
+	/** Callers abandon a stream after a pause of this length, in milliseconds. */
+	private static final double ABANDON_PAUSE_MS = 2000;
 
-	private int asked;
+	private int requests;
 
 	private int onTime;
 
 	private int late;
 
-	private double eventMs;
+	private double eventSumMs;
 
 	private int eventsTimed;
 
-	private double firstMs;
+	private double firstEventSumMs;
 
-	private int firsts;
+	private int firstEventsTimed;
 
-	ChainResult(double pauseAimMs) {
-		this.pauseAimMs = pauseAimMs;
+	ChainResult(double pauseTargetMs) {
+		this.pauseTargetMs = pauseTargetMs;
 	}
 
 	void add(EmulatedStream stream) {
-		this.asked++;
-		boolean whole = stream.completed();
-		boolean inTime = whole && stream.firstEventMs() <= FIRST_EVENT_AIM_MS
-				&& stream.longestPauseMs() <= this.pauseAimMs;
-		this.onTime += inTime ? 1 : 0;
-		this.late += (whole && !inTime && stream.longestPauseMs() < PATIENCE_MS) ? 1 : 0;
-		if (whole && stream.events() > 1) {
-			this.eventMs += stream.lastEventMs() - stream.startedMs() - stream.firstEventMs();
+		this.requests++;
+		boolean completed = stream.completed();
+		boolean meetsTargets = completed && stream.firstEventMs() <= FIRST_EVENT_TARGET_MS
+				&& stream.longestPauseMs() <= this.pauseTargetMs;
+		this.onTime += meetsTargets ? 1 : 0;
+		this.late += (completed && !meetsTargets && stream.longestPauseMs() < ABANDON_PAUSE_MS) ? 1 : 0;
+		if (completed && stream.events() > 1) {
+			this.eventSumMs += stream.lastEventMs() - stream.startedMs() - stream.firstEventMs();
 			this.eventsTimed += stream.events() - 1;
 		}
-		if (whole) {
-			this.firstMs += stream.firstEventMs();
-			this.firsts++;
+		if (completed) {
+			this.firstEventSumMs += stream.firstEventMs();
+			this.firstEventsTimed++;
 		}
 	}
 
 	/**
-	 * The part of the benefit that is earned: late answers are worth a quarter.
-	 * @return 0 to 1
+	 * Returns the ratio of the possible benefit that is earned. A late answer counts for
+	 * a quarter of one on time.
+	 * @return the ratio, from 0 to 1
 	 */
 	double benefit() {
-		return (this.onTime + 0.25 * this.late) / Math.max(1, this.asked);
+		return (this.onTime + 0.25 * this.late) / Math.max(1, this.requests);
 	}
 
 	double meanEventMs() {
-		return this.eventMs / Math.max(1, this.eventsTimed);
+		return this.eventSumMs / Math.max(1, this.eventsTimed);
 	}
 
 	double meanFirstMs() {
-		return this.firstMs / Math.max(1, this.firsts);
+		return this.firstEventSumMs / Math.max(1, this.firstEventsTimed);
 	}
 
 }
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainScenario.java
@@ -1,18 +1,19 @@
 package io.whinjunction.bench;
 
 /**
- * A scenario of {@link ChainEmulator}: load, and what fails. Immutable.
+ * Scenario of {@link ChainEmulator}: its load and its faults. Immutable.
  *
- * @param domains failure domains
- * @param routers routers that choose alone
- * @param requestsPerSecond requests a second in all
- * @param burstFactor how many times more come in the fourth sixth of it
- * @param crashes engines that die after a third of it
- * @param slowedEngines engines that work five times slower from then on
- * @param maxReportAgeMs how old at most is what routers know of loads, in milliseconds
- * @param durationMs how long requests come, in milliseconds
- * @param seed the source of chance
+ * @param domains the number of failure domains
+ * @param routers the number of routers, which choose independently
+ * @param requestsPerSecond the request rate of all routers together
+ * @param burstFactor the factor on the request rate in the fourth sixth of the run
+ * @param crashes the number of engines that crash after a third of the run
+ * @param slowedEngines the number of engines that are five times slower from the same
+ * moment on
+ * @param maxReportAgeMs the maximum age of the loads that routers have, in milliseconds
+ * @param durationMs the time during which requests arrive, in milliseconds
+ * @param seed the seed of the random numbers
  */
-record ChainScenario(int domains, int routers, double requestsPerSecond, double burstFactor, int crashes, int slowedEngines,
-		double maxReportAgeMs, double durationMs, long seed) {
+record ChainScenario(int domains, int routers, double requestsPerSecond, double burstFactor, int crashes,
+		int slowedEngines, double maxReportAgeMs, double durationMs, long seed) {
 }
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/EmulatedStream.java
@@ -5,7 +5,7 @@
 import io.whinjunction.chain.Hop;
 
 /**
- * A stream on emulated chains. Confined to one thread.
+ * Stream on emulated chains, with the times of its events. Confined to one thread.
  */
 final class EmulatedStream {
 
@@ -15,7 +15,7 @@
 
 	private final int router;
 
-	private final int prompt;
+	private final int promptTokens;
 
 	private final double startedMs;
 
@@ -23,14 +23,18 @@
 
 	private int attempt;
 
-	private int left;
+	private int remainingTokens;
 
-	private int made;
+	private int generatedTokens;
 
+	/**
+	 * Tokens that each engine of the path has to read before the next one is generated:
+	 * the prompt, and after a failover the answer so far.
+	 */
 	private int unreadTokens;
 
-	/** Prompt tokens that the engine at which it is has read. */
-	private int readHere;
+	/** Number of {@link #unreadTokens} that the engine of the current hop has read. */
+	private int tokensReadAtHop;
 
 	private int events;
 
@@ -42,31 +46,32 @@
 
 	private boolean failed;
 
-	EmulatedStream(String domain, int router, int prompt, int answer, int tokensPerEvent, double startedMs) {
+	EmulatedStream(String domain, int router, int promptTokens, int answerTokens, int tokensPerEvent,
+			double startedMs) {
 		this.tokensPerEvent = tokensPerEvent;
 		this.domain = domain;
 		this.router = router;
-		this.prompt = prompt;
-		this.left = answer;
+		this.promptTokens = promptTokens;
+		this.remainingTokens = answerTokens;
 		this.startedMs = startedMs;
 	}
 
 	int tokens() {
-		return this.prompt + this.made + this.left;
+		return this.promptTokens + this.generatedTokens + this.remainingTokens;
 	}
 
-	void startAttempt(List<Hop> chosen) {
-		this.path = chosen;
+	void startAttempt(List<Hop> newPath) {
+		this.path = newPath;
 		this.attempt++;
-		this.unreadTokens = this.prompt + this.made;
-		this.readHere = 0;
+		this.unreadTokens = this.promptTokens + this.generatedTokens;
+		this.tokensReadAtHop = 0;
 	}
 
 	void token(double nowMs) {
 		this.unreadTokens = 0;
-		this.made++;
-		this.left--;
-		if (this.made % this.tokensPerEvent != 0 && this.left > 0) {
+		this.generatedTokens++;
+		this.remainingTokens--;
+		if (this.generatedTokens % this.tokensPerEvent != 0 && this.remainingTokens > 0) {
 			return;
 		}
 		if (this.events == 0) {
@@ -80,11 +85,11 @@
 	}
 
 	boolean completed() {
-		return this.left <= 0 && !this.failed;
+		return this.remainingTokens <= 0 && !this.failed;
 	}
 
 	boolean inProgress() {
-		return this.left > 0 && !this.failed;
+		return this.remainingTokens > 0 && !this.failed;
 	}
 
 	void fail() {
@@ -116,25 +121,25 @@
 	}
 
 	/**
-	 * Reads on at the engine where the stream is.
-	 * @param mostTokens how many prompt tokens at most
-	 * @return how many were read
+	 * Continues to read tokens on the engine of the current hop.
+	 * @param maxTokens the maximum number of tokens to read
+	 * @return the number of tokens read
 	 */
-	int read(int mostTokens) {
-		int read = Math.min(this.unreadTokens - this.readHere, mostTokens);
-		this.readHere += read;
+	int read(int maxTokens) {
+		int read = Math.min(this.unreadTokens - this.tokensReadAtHop, maxTokens);
+		this.tokensReadAtHop += read;
 		return read;
 	}
 
 	/**
-	 * Whether the engine where the stream is has read all of its prompt; if so, the next
-	 * one begins anew.
-	 * @return whether the stream goes on
+	 * Checks whether the engine of the current hop has read all tokens. If so, resets the
+	 * count, so that the engine of the next hop reads them from the start.
+	 * @return whether the stream continues with the next hop
 	 */
 	boolean endReadIfComplete() {
-		boolean whole = this.readHere >= this.unreadTokens;
-		this.readHere = whole ? 0 : this.readHere;
-		return whole;
+		boolean complete = this.tokensReadAtHop >= this.unreadTokens;
+		this.tokensReadAtHop = complete ? 0 : this.tokensReadAtHop;
+		return complete;
 	}
 
 	double startedMs() {
