--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBench.java
@@ -13,8 +13,8 @@
 import io.whinjunction.chain.Placement;
 
 /**
- * The part of the benefit that callers get on emulated chains, by policy, size of the
- * failure domains and trouble.
+ * Measures the ratio of the possible benefit that callers get on emulated chains, by
+ * policy, size of the failure domains and scenario.
  */
 final class ChainBench {
 
@@ -23,15 +23,15 @@
 
 	private static final String PRODUCT = "product";
 
-	/** The load of a usual day against what the forecast says the first plan carries. */
-	private static final double USUAL_LOAD = 0.55;
+	/** Load of a usual day, as a ratio of the forecast capacity of the first plan. */
+	private static final double USUAL_LOAD_RATIO = 0.55;
 
-	private static final double HIGH_LOAD = 0.9;
+	private static final double HIGH_LOAD_RATIO = 0.9;
 
-	private final double lengthMs;
+	private final double durationMs;
 
-	ChainBench(double lengthMs) {
-		this.lengthMs = lengthMs;
+	ChainBench(double durationMs) {
+		this.durationMs = durationMs;
 	}
 
 	void run(Report report) {
@@ -39,55 +39,57 @@
 	}
 
 	private void run(Report report, ChainFleet fleet, Size size) {
-		String row = "chains.%s.%d.".formatted(fleet.name(), size.perDomain());
+		String prefix = "chains.%s.%d.".formatted(fleet.name(), size.perDomain());
 		List<Engine> empty = fleet.emptyEngines(size.domains(), size.perDomain());
 		double capacity = capacity(fleet.model(), empty);
-		report.put(row + "capacity", "requests/s", capacity);
-		report.put(row + "flow-bound", "requests/s", ChainBound.requestsPerSecond(fleet.model(), fleet.placedEngines(empty)));
-		scenarios(capacity, size).forEach((name, scenario) -> policies(fleet).forEach((policy, maker) -> {
-			ChainResult result = new ChainEmulator(fleet, maker.get(), empty, scenario).run();
-			report.put(row + name + "." + policy, "of the benefit", result.benefit());
+		report.put(prefix + "capacity", "requests/s", capacity);
+		report.put(prefix + "flow-bound", "requests/s",
+				ChainBound.requestsPerSecond(fleet.model(), fleet.placedEngines(empty)));
+		scenarios(capacity, size).forEach((name, scenario) -> policies(fleet).forEach((policy, factory) -> {
+			ChainResult result = new ChainEmulator(fleet, factory.get(), empty, scenario).run();
+			report.put(prefix + name + "." + policy, "of the benefit", result.benefit());
 			if (name.equals("calm") && policy.equals(PRODUCT)) {
-				report.put(row + "event-mean", "ms", result.meanEventMs());
-				report.put(row + "first-event-mean", "ms", result.meanFirstMs());
+				report.put(prefix + "event-mean", "ms", result.meanEventMs());
+				report.put(prefix + "first-event-mean", "ms", result.meanFirstMs());
 			}
 		}));
-		report.atLeast(row + "calm." + PRODUCT, size.leastCalm());
-		report.atLeast(row + "loss." + PRODUCT, size.leastLoss());
+		report.atLeast(prefix + "calm." + PRODUCT, size.minCalmBenefit());
+		report.atLeast(prefix + "loss." + PRODUCT, size.minLossBenefit());
 	}
 
-	// What the forecast says that the first plan carries.
+	// Returns the forecast capacity of the first plan.
 	private static double capacity(ModelProfile model, List<Engine> empty) {
-		double sum = 0;
+		double capacity = 0;
 		List<Placement> placements = LayerPlanner.plan(model, empty);
 		List<ChainForecast.Stage> stages = new ArrayList<>();
 		for (Placement placement : placements) {
 			int layers = placement.layers().end() - placement.layers().first();
 			stages.add(new ChainForecast.Stage(placement.engine().kind(), layers));
 			if (placement.layers().end() == model.layers()) {
-				sum += ChainForecast.capacity(model, stages);
+				capacity += ChainForecast.capacity(model, stages);
 				stages.clear();
 			}
 		}
-		return sum;
+		return capacity;
 	}
 
 	private Map<String, ChainScenario> scenarios(double capacity, Size size) {
-		int deaths = Math.max(1, size.perDomain() / 30);
-		double usual = USUAL_LOAD * capacity;
+		int crashes = Math.max(1, size.perDomain() / 30);
+		double usualRate = USUAL_LOAD_RATIO * capacity;
 		Map<String, ChainScenario> scenarios = new LinkedHashMap<>();
-		scenarios.put("calm", scenario(size, usual, 1, 0, 0, 250));
-		scenarios.put("high", scenario(size, HIGH_LOAD * capacity, 1, 0, 0, 250));
-		scenarios.put("loss", scenario(size, usual, 1, deaths, 0, 250));
-		scenarios.put("slow", scenario(size, usual, 1, 0, deaths, 250));
-		scenarios.put("burst", scenario(size, usual, 1.7, 0, 0, 250));
-		scenarios.put("lag", scenario(size, usual, 1.7, 0, 0, 1500));
+		scenarios.put("calm", scenario(size, usualRate, 1, 0, 0, 250));
+		scenarios.put("high", scenario(size, HIGH_LOAD_RATIO * capacity, 1, 0, 0, 250));
+		scenarios.put("loss", scenario(size, usualRate, 1, crashes, 0, 250));
+		scenarios.put("slow", scenario(size, usualRate, 1, 0, crashes, 250));
+		scenarios.put("burst", scenario(size, usualRate, 1.7, 0, 0, 250));
+		scenarios.put("lag", scenario(size, usualRate, 1.7, 0, 0, 1500));
 		return scenarios;
 	}
 
-	private ChainScenario scenario(Size size, double rate, double burst, int deaths, int slowed, double lagMs) {
-		return new ChainScenario(size.domains(), size.routers(), rate, burst, deaths, slowed, lagMs,
-				size.lengthPart() * this.lengthMs, 1);
+	private ChainScenario scenario(Size size, double rate, double burstFactor, int crashes, int slowedEngines,
+			double maxReportAgeMs) {
+		return new ChainScenario(size.domains(), size.routers(), rate, burstFactor, crashes, slowedEngines,
+				maxReportAgeMs, size.durationRatio() * this.durationMs, 1);
 	}
 
 	private static Map<String, Supplier<ChainPolicy>> policies(ChainFleet fleet) {
@@ -99,17 +101,19 @@
 	}
 
 	/**
-	 * A fleet. Immutable.
+	 * Size of a fleet, with the bounds on its results. Immutable.
 	 *
-	 * @param domains failure domains
-	 * @param perDomain engines in each
-	 * @param routers routers before them
-	 * @param lengthPart how much shorter its runs are, since a second has more requests
-	 * @param leastCalm the least benefit of a calm run, a little under what was measured
-	 * @param leastLoss the least benefit of a run with deaths
+	 * @param domains the number of failure domains
+	 * @param perDomain the number of engines in each
+	 * @param routers the number of routers
+	 * @param durationRatio the ratio of the usual duration that its runs take; lower for
+	 * larger fleets, which serve more requests per second
+	 * @param minCalmBenefit the lower bound on the benefit of a calm run, slightly below
+	 * the measured value
+	 * @param minLossBenefit the lower bound on the benefit of a run with crashes
 	 */
-	private record Size(int domains, int perDomain, int routers, double lengthPart, double leastCalm,
-			double leastLoss) {
+	private record Size(int domains, int perDomain, int routers, double durationRatio, double minCalmBenefit,
+			double minLossBenefit) {
 	}
 
 }
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainBound.java
@@ -10,9 +10,8 @@
 import org.jgrapht.graph.SimpleDirectedWeightedGraph;
 
 /**
- * The most requests a second that engines can carry with the layers they hold: the
- * maximal flow over layer boundaries, each engine working all the time and never waiting.
- * No policy reaches it. Stateless.
+ * Upper bound on the request rate of engines with the layers they hold: the maximum flow
+ * over layer boundaries, with each engine always busy. No policy reaches it. Stateless.
  */
 final class ChainBound {
 
@@ -22,10 +21,10 @@
 	}
 
 	/**
-	 * The bound.
+	 * Returns the bound.
 	 * @param model the model
 	 * @param engines the engines
-	 * @return requests a second
+	 * @return the bound, in requests per second
 	 */
 	static double requestsPerSecond(ModelProfile model, List<Engine> engines) {
 		TreeSet<Integer> bounds = new TreeSet<>(List.of(0, model.layers()));
@@ -38,23 +37,23 @@
 		bounds.forEach(graph::addVertex);
 		for (Engine engine : engines) {
 			if (engine.held() != null) {
-				addTo(graph, bounds, model, engine);
+				addEdges(graph, bounds, model, engine);
 			}
 		}
 		return new PushRelabelMFImpl<>(graph).calculateMaximumFlow(0, model.layers());
 	}
 
-	// An engine that holds several stretches between boundaries may give all of its time
-	// to each of them, which only raises the bound.
-	private static void addTo(SimpleDirectedWeightedGraph<Integer, DefaultWeightedEdge> graph, TreeSet<Integer> bounds,
-			ModelProfile model, Engine engine) {
+	// The full rate of an engine is added to each section between boundaries that it
+	// holds. This only raises the bound.
+	private static void addEdges(SimpleDirectedWeightedGraph<Integer, DefaultWeightedEdge> graph,
+			TreeSet<Integer> bounds, ModelProfile model, Engine engine) {
 		Integer first = engine.held().first();
 		while (first < engine.held().end()) {
 			Integer end = bounds.higher(first);
 			DefaultWeightedEdge edge = graph.getEdge(first, end);
-			double before = (edge != null) ? graph.getEdgeWeight(edge) : 0;
-			DefaultWeightedEdge kept = (edge != null) ? edge : graph.addEdge(first, end);
-			graph.setEdgeWeight(kept, before + rate(model, engine, end - first));
+			double previousWeight = (edge != null) ? graph.getEdgeWeight(edge) : 0;
+			DefaultWeightedEdge section = (edge != null) ? edge : graph.addEdge(first, end);
+			graph.setEdgeWeight(section, previousWeight + rate(model, engine, end - first));
 			first = end;
 		}
 	}
@@ -64,10 +63,12 @@
 		double tokenMs = layers * model.layerStepMs(engine.kind(), 1) - idleMs;
 		double workMs = model.meanAnswerTokens() * tokenMs
 				+ model.readMs(engine.kind(), layers, model.meanPromptTokens());
-		// A request holds its memory while all of its tokens pass at least this engine.
+		// A request holds its memory at least until all of its tokens have passed this
+		// engine.
 		double heldMs = model.meanAnswerTokens() * (idleMs + tokenMs);
-		double room = model.kvCapacityTokens(engine.kind(), engine.heldLayers()) / (double) model.meanTokens();
-		return Math.min(MS_PER_S / workMs, room * MS_PER_S / heldMs);
+		double concurrentRequests = model.kvCapacityTokens(engine.kind(), engine.heldLayers())
+				/ (double) model.meanTokens();
+		return Math.min(MS_PER_S / workMs, concurrentRequests * MS_PER_S / heldMs);
 	}
 
 }
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainFleet.java
@@ -13,10 +13,10 @@
 import io.whinjunction.chain.Placement;
 
 /**
- * A fleet of mixed accelerators for the benchmarks of chains, as one of the users' is
- * mixed. Immutable.
+ * Fleet of accelerators for the benchmarks of chains, mixed as in one of the users'
+ * fleets. Immutable.
  *
- * @param name its name in results
+ * @param name the name in results
  * @param model the model, with the figures that the users publish for theirs
  * @param mix the kinds of engines, repeated in this order in each failure domain
  * @param pauseTargetMs the longest pause between events that callers are promised, in
@@ -34,14 +34,14 @@
 
 	private static final EngineKind SLOW_SMALL = new EngineKind("slow-small", 14_400, 15, 15);
 
-	/** Of fifteen engines one is large and fast, ten small and middling, four slow. */
+	/** Per 15 engines: one large and fast, ten small of medium speed, four slow. */
 	static final ChainFleet MIDDLING = new ChainFleet("middling",
 			new ModelProfile("llm", 80, 1750, 845_373, 1.02, 0.0066, 0.0088, 164_000, 4, 14, 6, 134,
 					new ModelProfile.Transfer(42_268, 13_000), 775, 216,
 					Map.of("large", LARGE, "small", SMALL, "slow", SLOW)),
 			mixed(LARGE, 1, SMALL, 10, SLOW, 4), 250);
 
-	/** Of thirteen engines two are fast, which hold half as much, and eleven are slow. */
+	/** Per 13 engines: two fast with half the memory, and eleven slow. */
 	static final ChainFleet SLOW_MANY = new ChainFleet("slow-many",
 			new ModelProfile("llm", 80, 1750, 459_000, 0.85, 0.00297, 0.00398, 252_000, 2, 14, 6, 134,
 					new ModelProfile.Transfer(22_900, 7_900), 800, 154,
@@ -50,19 +50,19 @@
 
 	static final List<ChainFleet> ALL = List.of(MIDDLING, SLOW_MANY);
 
-	private static List<EngineKind> mixed(EngineKind first, int firsts, EngineKind second, int seconds,
-			EngineKind third, int thirds) {
+	private static List<EngineKind> mixed(EngineKind first, int firstCount, EngineKind second, int secondCount,
+			EngineKind third, int thirdCount) {
 		List<EngineKind> mix = new ArrayList<>();
-		mix.addAll(Collections.nCopies(firsts, first));
-		mix.addAll(Collections.nCopies(seconds, second));
-		mix.addAll(Collections.nCopies(thirds, third));
+		mix.addAll(Collections.nCopies(firstCount, first));
+		mix.addAll(Collections.nCopies(secondCount, second));
+		mix.addAll(Collections.nCopies(thirdCount, third));
 		return List.copyOf(mix);
 	}
 
 	/**
-	 * Empty engines.
-	 * @param domains how many failure domains
-	 * @param perDomain how many engines each of them has
+	 * Returns engines that hold no layers.
+	 * @param domains the number of failure domains
+	 * @param perDomain the number of engines in each
 	 * @return the engines
 	 */
 	List<Engine> emptyEngines(int domains, int perDomain) {
@@ -78,8 +78,8 @@
 	}
 
 	/**
-	 * Engines after the first plan was carried out.
-	 * @param engines empty engines
+	 * Returns engines with the layers of the first plan.
+	 * @param engines the empty engines
 	 * @return the same engines, with layers
 	 */
 	List<Engine> placedEngines(List<Engine> engines) {
@@ -87,23 +87,24 @@
 	}
 
 	/**
-	 * Carries placements out.
+	 * Returns engines with placements applied.
 	 * @param engines the engines before
-	 * @param placements what they should hold
+	 * @param placements the layers that some of them should hold
 	 * @return the engines after
 	 */
 	static List<Engine> withPlacements(List<Engine> engines, List<Placement> placements) {
 		Map<String, Placement> byEngine = new HashMap<>();
 		placements.forEach((placement) -> byEngine.put(placement.engine().id(), placement));
 		return engines.stream()
-			.map((engine) -> byEngine.containsKey(engine.id()) ? withPlacement(engine, byEngine.get(engine.id())) : engine)
+			.map((engine) -> byEngine.containsKey(engine.id()) ? withPlacement(engine, byEngine.get(engine.id()))
+					: engine)
 			.toList();
 	}
 
 	/**
-	 * Carries one placement out.
+	 * Returns an engine with a placement applied.
 	 * @param engine the engine before
-	 * @param placement what it should hold
+	 * @param placement the layers that it should hold
 	 * @return the engine after
 	 */
 	static Engine withPlacement(Engine engine, Placement placement) {
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainPolicy.java
@@ -19,36 +19,36 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * What is compared on emulated chains: who places layers, who chooses paths, and whether
- * losses are repaired. Stateless but for what it remembers of plans.
+ * Policy that is compared on emulated chains: it places layers, chooses paths, and may
+ * repair losses. Stateless except for the replica counts of earlier plans.
  */
 sealed interface ChainPolicy {
 
 	/**
-	 * The first placement on empty engines.
+	 * Plans the first placement on empty engines.
 	 * @param engines the engines
-	 * @return what each should hold
+	 * @return the layers that each engine should hold
 	 */
 	List<Placement> place(List<Engine> engines);
 
 	/**
-	 * What to order after a loss.
-	 * @param engines the engines that live
-	 * @return the orders; none where it doesn't repair
+	 * Plans the repair after a loss.
+	 * @param engines the engines that are alive
+	 * @return the placements to order; empty if this policy does not repair
 	 */
 	List<Placement> repair(List<Engine> engines);
 
 	/**
 	 * Chooses a path.
-	 * @param engines engines that live and hold layers
-	 * @param loads what is known of their load, by name
-	 * @param domain the caller's failure domain
-	 * @param tokens tokens that the request takes up
-	 * @return the path, or empty where the request is refused
+	 * @param engines the engines that are alive and hold layers
+	 * @param loads the last known loads, by engine id
+	 * @param domain the failure domain of the caller
+	 * @param tokens the number of tokens of the request
+	 * @return the path, or empty if the request is rejected
 	 */
 	Optional<List<Hop>> path(List<Engine> engines, Map<String, PathCosts.Load> loads, String domain, int tokens);
 
-	/** The product's decisions. */
+	/** Makes the decisions of the product. */
 	final class Product implements ChainPolicy {
 
 		private final ModelProfile model;
@@ -81,7 +81,7 @@
 
 	}
 
-	/** The product without regard for load: the shortest step wins. */
+	/** Makes the decisions of the product but ignores load: the shortest step wins. */
 	final class ShortestStep implements ChainPolicy {
 
 		private final ModelProfile model;
@@ -115,8 +115,9 @@
 	}
 
 	/**
-	 * The prototype's plan: one replica over all engines of a failure domain, shared out
-	 * by memory; paths stay at home and nothing is repaired.
+	 * Makes the decisions of the prototype: one replica over all engines of a failure
+	 * domain, up to the maximum number of hops, with layers in proportion to memory.
+	 * Paths stay in the failure domain of the caller, and losses are not repaired.
 	 */
 	final class OneReplica implements ChainPolicy {
 
@@ -132,11 +133,11 @@
 			engines.forEach((engine) -> byDomain.computeIfAbsent(engine.failureDomain(), (ignored) -> new ArrayList<>())
 				.add(engine));
 			List<Placement> placements = new ArrayList<>();
-			byDomain.values().forEach((ofDomain) -> placements.addAll(byMemory(ofDomain)));
+			byDomain.values().forEach((domainEngines) -> placements.addAll(splitByMemory(domainEngines)));
 			return placements;
 		}
 
-		private List<Placement> byMemory(List<Engine> engines) {
+		private List<Placement> splitByMemory(List<Engine> engines) {
 			List<Engine> members = engines.stream()
 				.sorted(Comparator.comparingDouble((Engine engine) -> -engine.kind().memoryMb())
 					.thenComparing(Engine::id))
@@ -144,11 +145,11 @@
 				.toList();
 			double memoryMb = members.stream().mapToDouble((engine) -> engine.kind().memoryMb()).sum();
 			List<Placement> placements = new ArrayList<>();
-			double passedMb = 0;
+			double cumulativeMb = 0;
 			int first = 0;
 			for (Engine engine : members) {
-				passedMb += engine.kind().memoryMb();
-				int end = (int) Math.round(this.model.layers() * passedMb / memoryMb);
+				cumulativeMb += engine.kind().memoryMb();
+				int end = (int) Math.round(this.model.layers() * cumulativeMb / memoryMb);
 				if (end > first) {
 					placements.add(new Placement(engine, new LayerRange(first, end)));
 				}
@@ -165,14 +166,14 @@
 		@Override
 		public Optional<List<Hop>> path(List<Engine> engines, Map<String, PathCosts.Load> loads, String domain,
 				int tokens) {
-			Map<Integer, Engine> byFirst = new HashMap<>();
+			Map<Integer, Engine> byFirstLayer = new HashMap<>();
 			engines.stream()
 				.filter((engine) -> engine.failureDomain().equals(domain))
-				.forEach((engine) -> byFirst.put(engine.held().first(), engine));
+				.forEach((engine) -> byFirstLayer.put(engine.held().first(), engine));
 			List<Hop> path = new ArrayList<>();
 			int layer = 0;
 			while (layer < this.model.layers()) {
-				Engine engine = byFirst.get(layer);
+				Engine engine = byFirstLayer.get(layer);
 				if (engine == null) {
 					return Optional.empty();
 				}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainSlopeBench.java
@@ -8,8 +8,8 @@
 import io.whinjunction.chain.ReplicaCountCache;
 
 /**
- * The cost of the decisions on chains as failure domains grow: the first plan, the plan
- * after a loss, and a path.
+ * Measures the cost of the decisions on chains as failure domains grow: the first plan,
+ * the plan after a loss, and the choice of a path.
  */
 final class ChainSlopeBench {
 
@@ -19,10 +19,10 @@
 
 	private static final int TARGET_DOMAINS = 9;
 
-	/** The failure domains' size at the target: 4,700 engines in nine. */
+	/** Size of a failure domain at the target size: 4,700 engines in nine domains. */
 	private static final int TARGET_PER_DOMAIN = 522;
 
-	/** Keeps results alive, so that the work cannot be left out. */
+	/** Keeps results reachable, so that the compiler cannot eliminate the work. */
 	private volatile Object sink;
 
 	private final long runMs;
@@ -45,10 +45,10 @@
 				micros(() -> this.sink = LayerPlanner.plan(ChainFleet.MIDDLING.model(), empty)));
 		List<Engine> placed = ChainFleet.MIDDLING.placedEngines(empty);
 		Engine lost = placed.stream().filter((engine) -> engine.held() != null).findFirst().orElseThrow();
-		List<Engine> holed = placed.stream().filter((engine) -> engine != lost).toList();
+		List<Engine> remaining = placed.stream().filter((engine) -> engine != lost).toList();
 		ReplicaCountCache counts = new ReplicaCountCache();
 		report.put("chain-repair" + size, "us",
-				micros(() -> this.sink = LayerPlanner.plan(ChainFleet.MIDDLING.model(), holed, counts)));
+				micros(() -> this.sink = LayerPlanner.plan(ChainFleet.MIDDLING.model(), remaining, counts)));
 		List<PathFinder.Candidate> candidates = placed.stream()
 			.filter((engine) -> engine.held() != null)
 			.map((engine) -> new PathFinder.Candidate(engine,
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainsCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ChainsCommand.java
@@ -3,9 +3,9 @@
 import com.github.rvesse.airline.annotations.Command;
 
 /**
- * Emulated chains.
+ * Measures the policies on emulated chains.
  */
-@Command(name = "chains", description = "Benefit on emulated chains of mixed engines, by policy, size and trouble")
+@Command(name = "chains", description = "Benefit on emulated chains of mixed engines, by policy, size and scenario")
 public final class ChainsCommand extends BenchCommand {
 
 	@Override
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/Policies.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/Policies.java
@@ -8,7 +8,7 @@
 import io.whinjunction.pipeline.ChoicePolicy;
 
 /**
- * The policies that are compared: three baselines and the product's. Stateless.
+ * Policies that are compared: three baselines and that of the product. Stateless.
  */
 final class Policies {
 
