--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchCommand.java
@@ -5,14 +5,14 @@
 import com.github.rvesse.airline.annotations.Option;
 
 /**
- * What all benchmarks share: their length, and where results go.
+ * Base class of the benchmark commands, with the options for duration and output file.
  */
 abstract class BenchCommand implements Runnable {
 
-	@Option(name = "--quick", description = "Shorter runs")
+	@Option(name = "--quick", description = "Run shorter benchmarks")
 	private boolean quick;
 
-	@Option(name = "--out", title = "FILE", description = "Where to write the results as JSON")
+	@Option(name = "--out", title = "FILE", description = "File to write the results to, as JSON")
 	private String out;
 
 	@Override
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchEngines.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchEngines.java
@@ -12,8 +12,9 @@
 import io.whinjunction.engine.EngineClient;
 
 /**
- * Engines that serve at a set rate with a batch, behind links of set latency, in real
- * time. Answers are well formed and carry no model. Safe for all threads.
+ * Emulates engines in real time, each with a configured rate, a batch, and a link of a
+ * configured latency. Answers are well-formed, but no model computes them. Thread-safe
+ * once all engines are added.
  */
 final class BenchEngines implements EngineClient {
 
@@ -38,7 +39,7 @@
 	@Override
 	public StepResult step(String address, Step step, long timeoutMs) {
 		Server server = this.servers.get(address);
-		if (server.dead) {
+		if (server.crashed) {
 			return new StepResult.NotSent("connection refused");
 		}
 		if (step.position() == 0) {
@@ -69,7 +70,7 @@
 
 	@Override
 	public void cancel(String address, String stream) {
-		// Keeps nothing.
+		// No state to release.
 	}
 
 	@Override
@@ -86,10 +87,10 @@
 	private static StepResult serve(Server server, Step step, long endNs) {
 		long stepNs = (long) (server.slowdown * BATCH * 1e9 / server.ratePerSecond);
 		park(stepNs);
-		while (server.frozen && !server.dead && System.nanoTime() < endNs) {
+		while (server.frozen && !server.crashed && System.nanoTime() < endNs) {
 			park(1_000_000);
 		}
-		if (server.dead) {
+		if (server.crashed) {
 			return new StepResult.Failed("reset", false);
 		}
 		if (server.frozen || System.nanoTime() > endNs) {
@@ -101,15 +102,15 @@
 
 	private static void park(long durationNs) {
 		long endNs = System.nanoTime() + durationNs;
-		long leftNs = durationNs;
-		while (leftNs > 0) {
-			LockSupport.parkNanos(leftNs);
-			leftNs = endNs - System.nanoTime();
+		long remainingNs = durationNs;
+		while (remainingNs > 0) {
+			LockSupport.parkNanos(remainingNs);
+			remainingNs = endNs - System.nanoTime();
 		}
 	}
 
 	/**
-	 * One engine; the faults are switched while it serves.
+	 * State of one engine. Faults may be injected while it serves. Thread-safe.
 	 */
 	static final class Server {
 
@@ -125,7 +126,7 @@
 
 		private volatile double slowdown = 1;
 
-		private volatile boolean dead;
+		private volatile boolean crashed;
 
 		private volatile boolean frozen;
 
@@ -152,11 +153,11 @@
 		}
 
 		void crash() {
-			this.dead = true;
+			this.crashed = true;
 		}
 
-		void freeze(boolean now) {
-			this.frozen = now;
+		void freeze(boolean newValue) {
+			this.frozen = newValue;
 		}
 
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchFleet.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchFleet.java
@@ -33,9 +33,9 @@
 import org.jgrapht.graph.SimpleDirectedWeightedGraph;
 
 /**
- * Today's size: forty engines of eight kinds on four layer ranges in three failure
- * domains, and eight entries that decide without waiting for each other, each the
- * product's own slices. Safe for all threads once built.
+ * Fleet of the current size: 40 engines of eight kinds on four layer ranges in three
+ * failure domains, and eight entries that decide independently, each with the product's
+ * upstream table, pipeline chooser and retry budget. Thread-safe once constructed.
  */
 final class BenchFleet implements AutoCloseable {
 
@@ -43,14 +43,14 @@
 
 	private static final double[] KIND_RATES = { 50, 75, 100, 150, 200, 300, 500, 800 };
 
-	/** One-way latency by failure domain, from 0.1 to 10 ms: a hundredfold. */
+	/** One-way latency by failure domain, from 0.1 to 10 ms: a factor of 100. */
 	private static final double[] LINK_MS = { 0.1, 1, 10 };
 
 	private static final List<String> DOMAINS = List.of("d0", "d1", "d2");
 
 	private static final int PER_RANGE = 10;
 
-	private static final long REFRESH_MS = 100;
+	private static final long REPORT_INTERVAL_MS = 100;
 
 	private static final int STEP_TIMEOUT_MS = 1000;
 
@@ -65,7 +65,7 @@
 
 	private final List<Upstream> upstreams = new ArrayList<>();
 
-	private final List<EntrySlice> entries = new ArrayList<>();
+	private final List<EntryState> entries = new ArrayList<>();
 
 	private final Ticker ticker = Ticker.system();
 
@@ -90,7 +90,7 @@
 		for (int i = 0; i < ENTRIES; i++) {
 			UpstreamTable table = new UpstreamTable();
 			table.replace(this.upstreams);
-			this.entries.add(new EntrySlice(table,
+			this.entries.add(new EntryState(table,
 					new PipelineChooser(table, policies.get(), this.ticker, new Random(seeds.nextLong())),
 					new RetryBudget(0.1, 256)));
 		}
@@ -98,9 +98,10 @@
 	}
 
 	/**
-	 * The most tokens a second that the engines, as they are now, could make: max-flow
-	 * from the first range to the last with each engine's rate as its capacity.
-	 * @return tokens per second
+	 * Returns the upper bound on the throughput of the engines at their current rates:
+	 * the maximum flow from the first range to the last, with the rate of each engine as
+	 * its capacity.
+	 * @return the bound, in tokens per second
 	 */
 	double boundPerSecond() {
 		SimpleDirectedWeightedGraph<String, DefaultWeightedEdge> graph = new SimpleDirectedWeightedGraph<>(
@@ -129,10 +130,10 @@
 	}
 
 	DraftResult draft(int entry, String id, int tokens, long deadlineMs, TokenSink sink) {
-		EntrySlice slice = this.entries.get(entry % ENTRIES);
+		EntryState state = this.entries.get(entry % ENTRIES);
 		DraftRequest request = new DraftRequest(id, this.model, () -> this.placement, "p", tokens,
 				this.ticker.nowMs() + deadlineMs);
-		return new DraftSession(request, slice.chooser(), slice.table(), this.engines, slice.budget(), this.ticker)
+		return new DraftSession(request, state.chooser(), state.table(), this.engines, state.budget(), this.ticker)
 			.run(sink);
 	}
 
@@ -148,17 +149,17 @@
 			Map<String, Integer> now = new HashMap<>();
 			this.upstreams.forEach((upstream) -> now.put(upstream.id(), this.engines.server(upstream.id()).running()));
 			history.addLast(now);
-			while (history.size() > 1 + lagMs / REFRESH_MS) {
+			while (history.size() > 1 + lagMs / REPORT_INTERVAL_MS) {
 				history.removeFirst();
 			}
-			Map<String, Integer> seen = history.getFirst();
+			Map<String, Integer> lagged = history.getFirst();
 			List<Upstream> reported = this.upstreams.stream()
 				.map((one) -> new Upstream(one.id(), one.service(), one.address(), one.failureDomain(), one.range(),
-						one.generation(), one.tokensPerSecond(), seen.get(one.id()), false))
+						one.generation(), one.tokensPerSecond(), lagged.get(one.id()), false))
 				.toList();
 			this.entries.forEach((entry) -> entry.table().replace(reported));
 			try {
-				this.ticker.sleepMs(REFRESH_MS);
+				this.ticker.sleepMs(REPORT_INTERVAL_MS);
 			}
 			catch (InterruptedException ex) {
 				return;
@@ -166,7 +167,7 @@
 		}
 	}
 
-	private record EntrySlice(UpstreamTable table, PipelineChooser chooser, RetryBudget budget) {
+	private record EntryState(UpstreamTable table, PipelineChooser chooser, RetryBudget budget) {
 	}
 
 }
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchMain.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/BenchMain.java
@@ -6,7 +6,8 @@
 import io.whinjunction.log.Logs;
 
 /**
- * The {@code whin-bench} program: benchmarks, and the caller of {@code run-failures}.
+ * Main class of {@code whin-bench}: the benchmarks, and the probe that
+ * {@code run-failures} calls.
  */
 @Cli(name = "whin-bench", description = "Measures whinjunction against its own baselines", defaultCommand = Help.class,
 		commands = { Help.class, ProbeCommand.class, ThroughputCommand.class, SlopesCommand.class, SpreadCommand.class,
@@ -19,7 +20,7 @@
 	}
 
 	/**
-	 * Runs one command.
+	 * Runs the command that the arguments name.
 	 * @param args the arguments
 	 */
 	public static void main(String[] args) {
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/BlockedDrafts.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/BlockedDrafts.java
@@ -26,8 +26,8 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * Drafts that wait in their second step, to see what an open stream holds. Confined to
- * one thread.
+ * Drafts that block in their second step, to measure the memory of an open stream.
+ * Confined to one thread.
  */
 final class BlockedDrafts {
 
@@ -44,10 +44,10 @@
 
 	private final List<Thread> threads = new ArrayList<>();
 
-	private final Blocking engines;
+	private final BlockingEngineClient engineClient;
 
 	BlockedDrafts(CountDownLatch blocked, CountDownLatch release) {
-		this.engines = new Blocking(blocked, release);
+		this.engineClient = new BlockingEngineClient(blocked, release);
 		this.table.replace(List.of(new Upstream("e", "llm", "e", "d", RANGE, 1, 1, 0, false)));
 	}
 
@@ -57,8 +57,8 @@
 				Long.MAX_VALUE / 2);
 		DraftSession session = new DraftSession(request,
 				new PipelineChooser(this.table, ChoicePolicy.standard(), Ticker.system(), new Random(index)),
-				this.table, this.engines, new RetryBudget(0.1, 20), Ticker.system());
-		this.threads.add(Thread.startVirtualThread(() -> session.run(new Ignoring())));
+				this.table, this.engineClient, new RetryBudget(0.1, 20), Ticker.system());
+		this.threads.add(Thread.startVirtualThread(() -> session.run(new DiscardingSink())));
 	}
 
 	void join() {
@@ -72,11 +72,11 @@
 		}
 	}
 
-	private static final class Ignoring implements TokenSink {
+	private static final class DiscardingSink implements TokenSink {
 
 		@Override
 		public void token(String token) {
-			// Nobody reads.
+			// Tokens are not needed.
 		}
 
 		@Override
@@ -86,7 +86,7 @@
 
 	}
 
-	private record Blocking(CountDownLatch blocked, CountDownLatch release) implements EngineClient {
+	private record BlockingEngineClient(CountDownLatch blocked, CountDownLatch release) implements EngineClient {
 
 		@Override
 		public StepResult step(String address, Step step, long timeoutMs) {
@@ -105,7 +105,7 @@
 
 		@Override
 		public void cancel(String address, String stream) {
-			// Keeps nothing.
+			// No state to release.
 		}
 
 		@Override
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/DraftProbe.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/DraftProbe.java
@@ -16,8 +16,8 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * One caller of a streamed draft: checks each token against the model and times it. Safe
- * for all threads.
+ * Client that sends streamed drafts, checks each token against the reference model and
+ * measures its arrival time. Thread-safe.
  */
 final class DraftProbe {
 
@@ -26,13 +26,13 @@
 	private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
 	/**
-	 * Sends a draft and reads it to its end.
-	 * @param address the entry, {@code HOST:PORT}
-	 * @param key the team's key
+	 * Sends a draft and reads the response to its end.
+	 * @param address the address of the entry, {@code HOST:PORT}
+	 * @param key the key of the team
 	 * @param prompt the prompt
-	 * @param layers the model's layers
-	 * @param count how many tokens
-	 * @return what the caller saw
+	 * @param layers the number of layers of the model
+	 * @param count the number of tokens
+	 * @return the result as seen by the caller
 	 */
 	Result draft(String address, String key, String prompt, int layers, int count) {
 		long startNs = System.nanoTime();
@@ -46,47 +46,47 @@
 			.header("authorization", "Bearer " + key)
 			.POST(HttpRequest.BodyPublishers.ofString(body))
 			.build();
-		Reading reading = new Reading(startNs);
+		ResponseCollector collector = new ResponseCollector(startNs);
 		try {
 			HttpResponse<Stream<String>> response = this.client.send(request, HttpResponse.BodyHandlers.ofLines());
-			reading.status = response.statusCode();
-			reading.outcome = response.headers().firstValue("whin-outcome").orElse("none");
-			reading.requestId = response.headers().firstValue("whin-request-id").orElse("");
-			reading.retryAfter = response.headers().firstValue("retry-after").isPresent();
+			collector.status = response.statusCode();
+			collector.outcome = response.headers().firstValue("whin-outcome").orElse("none");
+			collector.requestId = response.headers().firstValue("whin-request-id").orElse("");
+			collector.retryAfter = response.headers().firstValue("retry-after").isPresent();
 			Iterator<String> lines = response.body().iterator();
 			while (lines.hasNext()) {
-				reading.line(lines.next());
+				collector.addLine(lines.next());
 			}
 		}
 		catch (IOException | UncheckedIOException ex) {
-			reading.cut = true;
+			collector.disconnected = true;
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			reading.cut = true;
+			collector.disconnected = true;
 		}
-		return reading.seen(ReferenceModel.draft(prompt, layers, count));
+		return collector.result(ReferenceModel.draft(prompt, layers, count));
 	}
 
 	/**
-	 * What a caller saw.
+	 * Result of a draft as seen by its caller. Immutable.
 	 *
-	 * @param status the HTTP status; 0 where there was no answer
-	 * @param outcome the last outcome told
+	 * @param status the HTTP status, or 0 if there was no response
+	 * @param outcome the last reported outcome
 	 * @param requestId the request id
-	 * @param retryAfter whether a refusal said when to come back
-	 * @param complete whether the proper end came
-	 * @param correct whether every token was the model's own
-	 * @param tokens how many came
-	 * @param firstTokenMs from sending to the first token
+	 * @param retryAfter whether the response has a {@code Retry-After} header
+	 * @param complete whether all tokens and the end marker arrived
+	 * @param correct whether every received token is that of the reference model
+	 * @param tokens the number of received tokens
+	 * @param firstTokenMs the time from the request to the first token, or -1 without one
 	 * @param maxGapMs the longest time between two tokens
-	 * @param totalMs from sending to the end
+	 * @param totalMs the time from the request to the end
 	 */
 	record Result(int status, String outcome, String requestId, boolean retryAfter, boolean complete, boolean correct,
 			int tokens, double firstTokenMs, double maxGapMs, double totalMs) {
 	}
 
-	private static final class Reading {
+	private static final class ResponseCollector {
 
 		private final long startNs;
 
@@ -108,13 +108,13 @@
 
 		private boolean done;
 
-		private boolean cut;
+		private boolean disconnected;
 
-		Reading(long startNs) {
+		ResponseCollector(long startNs) {
 			this.startNs = startNs;
 		}
 
-		void line(String line) {
+		void addLine(String line) {
 			if (!line.startsWith(DATA)) {
 				return;
 			}
@@ -130,12 +130,12 @@
 			}
 			String token = node.path("choices").path(0).path("text").asString("");
 			if (!token.isEmpty()) {
-				time();
+				recordTime();
 				this.tokens.add(token);
 			}
 		}
 
-		private void time() {
+		private void recordTime() {
 			long nowNs = System.nanoTime();
 			if (this.tokens.isEmpty()) {
 				this.firstTokenMs = (nowNs - this.startNs) / 1e6;
@@ -146,11 +146,11 @@
 			this.lastNs = nowNs;
 		}
 
-		Result seen(List<String> expected) {
-			boolean right = this.tokens.size() <= expected.size()
+		Result result(List<String> expected) {
+			boolean correct = this.tokens.size() <= expected.size()
 					&& this.tokens.equals(expected.subList(0, this.tokens.size()));
-			boolean whole = this.done && !this.cut && this.tokens.size() == expected.size();
-			return new Result(this.status, this.outcome, this.requestId, this.retryAfter, whole, right,
+			boolean complete = this.done && !this.disconnected && this.tokens.size() == expected.size();
+			return new Result(this.status, this.outcome, this.requestId, this.retryAfter, complete, correct,
 					this.tokens.size(), this.firstTokenMs, this.maxGapNs / 1e6,
 					(System.nanoTime() - this.startNs) / 1e6);
 		}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/Report.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/Report.java
@@ -12,7 +12,7 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Gathers figures and the bounds on them. Confined to one thread.
+ * Collects figures and checks bounds on them. Confined to one thread.
  */
 final class Report {
 
@@ -20,7 +20,7 @@
 
 	private final Map<String, String> bounds = new LinkedHashMap<>();
 
-	private int broken;
+	private int brokenBounds;
 
 	void put(String name, String unit, double value) {
 		this.figures.put(name, new Figure(value, unit));
@@ -31,21 +31,21 @@
 		return this.figures.get(name).value();
 	}
 
-	void atLeast(String name, double least) {
-		bound(name, ">= " + least, value(name) >= least);
+	void atLeast(String name, double min) {
+		bound(name, ">= " + min, value(name) >= min);
 	}
 
-	void atMost(String name, double most) {
-		bound(name, "<= " + most, value(name) <= most);
+	void atMost(String name, double max) {
+		bound(name, "<= " + max, value(name) <= max);
 	}
 
 	void atMostTimes(String name, double factor, String baseline) {
-		double most = factor * value(baseline);
-		bound(name, "<= %.3f x %s".formatted(factor, baseline), value(name) <= most);
+		double max = factor * value(baseline);
+		bound(name, "<= %.3f x %s".formatted(factor, baseline), value(name) <= max);
 	}
 
 	int brokenBounds() {
-		return this.broken;
+		return this.brokenBounds;
 	}
 
 	void write(Path file) {
@@ -70,9 +70,9 @@
 		this.bounds.forEach((name, verdict) -> System.out.printf("%-58s %s%n", name, verdict));
 	}
 
-	private void bound(String name, String wanted, boolean kept) {
-		this.broken += kept ? 0 : 1;
-		this.bounds.put(name, (kept ? "kept" : "BROKEN") + ": " + wanted);
+	private void bound(String name, String condition, boolean holds) {
+		this.brokenBounds += holds ? 0 : 1;
+		this.bounds.put(name, (holds ? "kept" : "BROKEN") + ": " + condition);
 	}
 
 	private record Figure(double value, String unit) {
