--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadBench.java
@@ -22,8 +22,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One, two and five times the bound, one large team and nine small ones: useful answers
- * in time, small teams' share, refusals and retries.
+ * Measures overload: the load is one, two and five times the bound, sent by one large
+ * team and nine small ones. Reports useful answers in time, the served ratio of the small
+ * teams, refusals and retries.
  */
 final class OverloadBench {
 
@@ -31,10 +32,13 @@
 
 	private static final long DEADLINE_MS = 8000;
 
-	private static final int TEAMS = 10;
+	private static final int TEAM_COUNT = 10;
 
-	/** The large team's part of the offered load; the small ones share the rest. */
-	private static final double LARGE_PART = 0.8;
+	/**
+	 * Ratio of the offered load at 1x that the large team sends; the small ones share the
+	 * rest.
+	 */
+	private static final double LARGE_TEAM_RATIO = 0.8;
 
 	private final long runMs;
 
@@ -57,44 +61,46 @@
 	private void measure(Report report, int factor) {
 		try (BenchFleet fleet = new BenchFleet(Policies::ours, 500, 5);
 				ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
-			Load load = new Load(fleet);
+			LoadGenerator generator = new LoadGenerator(fleet);
 			double perSecond = factor * fleet.boundPerSecond() / TOKENS;
 			Random random = new Random(6);
 			long startNs = System.nanoTime();
-			long warmNs = startNs + DEADLINE_MS * 1_000_000;
-			long endNs = warmNs + this.runMs * 1_000_000;
+			long warmUpEndNs = startNs + DEADLINE_MS * 1_000_000;
+			long endNs = warmUpEndNs + this.runMs * 1_000_000;
 			double nextNs = startNs;
 			for (int n = 0; System.nanoTime() < endNs; n++) {
 				nextNs += -Math.log(1 - random.nextDouble()) * 1e9 / perSecond;
 				LockSupport.parkNanos((long) nextNs - System.nanoTime());
-				load.counting = System.nanoTime() > warmNs;
+				generator.measuring = System.nanoTime() > warmUpEndNs;
 				int request = n;
-				// A small team's demand stays what it is at 1x; the large one floods.
-				boolean small = random.nextDouble() < (1 - LARGE_PART) / factor;
-				int team = small ? 1 + random.nextInt(TEAMS - 1) : 0;
-				executor.execute(() -> load.request(request, team));
+				// The demand of the small teams stays as at 1x; the large team causes the
+				// overload.
+				boolean small = random.nextDouble() < (1 - LARGE_TEAM_RATIO) / factor;
+				int team = small ? 1 + random.nextInt(TEAM_COUNT - 1) : 0;
+				executor.execute(() -> generator.request(request, team));
 			}
-			load.counting = false;
-			load.over = true;
+			generator.measuring = false;
+			generator.stopped = true;
 			String prefix = "overload." + factor + "x.";
 			report.put(prefix + "useful", "of the bound",
-					load.useful.sum() * TOKENS * 1000.0 / this.runMs / fleet.boundPerSecond());
+					generator.useful.sum() * TOKENS * 1000.0 / this.runMs / fleet.boundPerSecond());
 			report.put(prefix + "small-teams-served", "of their requests",
-					(double) load.smallServed.sum() / Math.max(1, load.smallAsked.sum()));
-			report.put(prefix + "refused", "of requests", (double) load.refused.sum() / load.asked.sum());
-			report.put(prefix + "late", "of requests", (double) load.late.sum() / load.asked.sum());
+					(double) generator.smallServed.sum() / Math.max(1, generator.smallRequests.sum()));
+			report.put(prefix + "refused", "of requests", (double) generator.refused.sum() / generator.requests.sum());
+			report.put(prefix + "late", "of requests", (double) generator.late.sum() / generator.requests.sum());
 			report.put(prefix + "refused-after-waiting", "of refusals",
-					1 - load.refusalUs.getPercentileAtOrBelowValue(100_000) / 100);
-			report.put(prefix + "refusal-p50", "ms", load.refusalUs.getValueAtPercentile(50) / 1000.0);
-			report.put(prefix + "retries", "per request", (double) load.retries.sum() / load.asked.sum());
-			report.put(prefix + "poll-p99", "ms", load.pollUs.getValueAtPercentile(99) / 1000.0);
+					1 - generator.refusalUs.getPercentileAtOrBelowValue(100_000) / 100);
+			report.put(prefix + "refusal-p50", "ms", generator.refusalUs.getValueAtPercentile(50) / 1000.0);
+			report.put(prefix + "retries", "per request", (double) generator.retries.sum() / generator.requests.sum());
+			report.put(prefix + "poll-p99", "ms", generator.pollUs.getValueAtPercentile(99) / 1000.0);
 		}
 	}
 
 	/**
-	 * The entries' admission and the counts.
+	 * Sends requests through the admission queues of the entries and counts their
+	 * results. Thread-safe.
 	 */
-	private static final class Load {
+	private static final class LoadGenerator {
 
 		private final BenchFleet fleet;
 
@@ -104,7 +110,7 @@
 
 		private final AtomicInteger next = new AtomicInteger();
 
-		private final LongAdder asked = new LongAdder();
+		private final LongAdder requests = new LongAdder();
 
 		private final LongAdder useful = new LongAdder();
 
@@ -114,7 +120,7 @@
 
 		private final LongAdder retries = new LongAdder();
 
-		private final LongAdder smallAsked = new LongAdder();
+		private final LongAdder smallRequests = new LongAdder();
 
 		private final LongAdder smallServed = new LongAdder();
 
@@ -122,11 +128,11 @@
 
 		private final Histogram pollUs = new ConcurrentHistogram(3);
 
-		private volatile boolean counting;
+		private volatile boolean measuring;
 
-		private volatile boolean over;
+		private volatile boolean stopped;
 
-		Load(BenchFleet fleet) {
+		LoadGenerator(BenchFleet fleet) {
 			this.fleet = fleet;
 			for (int i = 0; i < BenchFleet.ENTRIES; i++) {
 				this.drafts.add(new AdmissionQueue(ConcurrencyLimit.learned(256), 256));
@@ -141,7 +147,7 @@
 			AdmissionQueue queue = this.drafts.get(entry);
 			boolean admitted = enter(queue, "team-" + team);
 			if (!admitted) {
-				if (this.counting) {
+				if (this.measuring) {
 					this.refusalUs.recordValue((System.nanoTime() - startNs) / 1000);
 				}
 				count(team, this.refused);
@@ -149,9 +155,9 @@
 			}
 			long enteredNs = System.nanoTime();
 			try {
-				long leftMs = DEADLINE_MS - (enteredNs - startNs) / 1_000_000;
-				DraftResult result = this.fleet.draft(entry, "o" + n, TOKENS, leftMs, new Sink(queue, enteredNs));
-				if (this.counting) {
+				long remainingMs = DEADLINE_MS - (enteredNs - startNs) / 1_000_000;
+				DraftResult result = this.fleet.draft(entry, "o" + n, TOKENS, remainingMs, new Sink(queue, enteredNs));
+				if (this.measuring) {
 					this.retries.add(result.attempts() - 1);
 				}
 				count(team, (result.outcome() instanceof Outcome.Answered) ? this.useful : this.late);
@@ -170,15 +176,15 @@
 			this.pollUs.recordValue((System.nanoTime() - startNs) / 1000);
 		}
 
-		private void count(int team, LongAdder what) {
-			if (!this.counting) {
+		private void count(int team, LongAdder counter) {
+			if (!this.measuring) {
 				return;
 			}
-			this.asked.increment();
-			what.increment();
+			this.requests.increment();
+			counter.increment();
 			if (team > 0) {
-				this.smallAsked.increment();
-				if (what == this.useful) {
+				this.smallRequests.increment();
+				if (counter == this.useful) {
 					this.smallServed.increment();
 				}
 			}
@@ -222,7 +228,7 @@
 
 			@Override
 			public boolean cancelled() {
-				return Load.this.over;
+				return LoadGenerator.this.stopped;
 			}
 
 		}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/OverloadCommand.java
@@ -3,7 +3,7 @@
 import com.github.rvesse.airline.annotations.Command;
 
 /**
- * Overload with a large team and small ones.
+ * Measures overload by one large team and nine small ones.
  */
 @Command(name = "overload", description = "One, two and five times the bound with one large team and nine small")
 public final class OverloadCommand extends BenchCommand {
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/PlotCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/PlotCommand.java
@@ -13,7 +13,7 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * Draws the throughput by policy as bars.
+ * Draws the throughput by policy as a bar chart.
  */
 @Command(name = "plot", description = "Draws throughput by policy as SVG from the results")
 public final class PlotCommand implements Runnable {
@@ -22,15 +22,15 @@
 
 	private static final int WIDTH = 480;
 
-	private static final int ROW = 28;
+	private static final int ROW_HEIGHT = 28;
 
-	private static final int LABEL = 130;
+	private static final int LABEL_WIDTH = 130;
 
-	@Option(name = "--results", title = "FOLDER", description = "Where throughput.json is")
+	@Option(name = "--results", title = "FOLDER", description = "Folder that contains throughput.json")
 	@Required
 	private String results;
 
-	@Option(name = "--out", title = "FILE", description = "The SVG file")
+	@Option(name = "--out", title = "FILE", description = "SVG file to write")
 	@Required
 	private String out;
 
@@ -48,7 +48,7 @@
 
 	private static String svg(JsonNode figures) {
 		StringBuilder svg = new StringBuilder();
-		int height = ROW * (2 * POLICIES.length + 2);
+		int height = ROW_HEIGHT * (2 * POLICIES.length + 2);
 		svg.append(
 				"<svg xmlns=\"http://www.w3.org/2000/svg\" font-family=\"sans-serif\" font-size=\"12\" width=\"%d\" height=\"%d\">%n"
 					.formatted(WIDTH, height));
@@ -60,17 +60,17 @@
 
 	private static int bars(StringBuilder svg, JsonNode figures, String prefix, String title, int top) {
 		svg.append("<text x=\"4\" y=\"%d\" font-weight=\"bold\">%s</text>%n".formatted(top + 18, title));
-		int y = top + ROW;
+		int y = top + ROW_HEIGHT;
 		for (String policy : POLICIES) {
 			double value = figures.path(prefix + policy).path("value").asDouble(0);
-			int length = (int) (value * (WIDTH - LABEL - 60));
+			int length = (int) (value * (WIDTH - LABEL_WIDTH - 60));
 			String fill = policy.equals(Policies.OURS) ? "#2b6cb0" : "#a0aec0";
 			svg.append("<text x=\"4\" y=\"%d\">%s</text>".formatted(y + 15, policy))
-				.append("<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"18\" fill=\"%s\"/>".formatted(LABEL, y, length,
-						fill))
-				.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\">%.2f</text>%n", LABEL + length + 6, y + 14,
-						value));
-			y += ROW;
+				.append("<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"18\" fill=\"%s\"/>".formatted(LABEL_WIDTH, y,
+						length, fill))
+				.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\">%.2f</text>%n", LABEL_WIDTH + length + 6,
+						y + 14, value));
+			y += ROW_HEIGHT;
 		}
 		return y;
 	}
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/RecoveryBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/RecoveryBench.java
@@ -13,8 +13,8 @@
 import io.whinjunction.session.TokenSink;
 
 /**
- * From a stage's fault to the callers' next tokens, on the forty engines of
- * {@link BenchFleet}.
+ * Measures the time from the fault of a stage to the callers' next tokens, on the 40
+ * engines of {@link BenchFleet}.
  */
 final class RecoveryBench {
 
@@ -26,44 +26,44 @@
 
 	private static final long FAULT_AFTER_MS = 1500;
 
-	/** The step time limit that BenchFleet sets: the longest that detection can take. */
-	private static final double STEP_LIMIT_MS = 1000;
+	/** Step timeout that BenchFleet sets: the maximum time to detect a fault. */
+	private static final double STEP_TIMEOUT_MS = 1000;
 
 	void run(Report report) {
 		measure(report, "dies", (server) -> server.crash());
 		measure(report, "freezes", (server) -> server.freeze(true));
 		measure(report, "slows-tenfold", (server) -> server.slowDown(10));
-		report.atMost("recovery.dies.longest-gap", 2 * STEP_LIMIT_MS);
-		report.atMost("recovery.freezes.longest-gap", 2 * STEP_LIMIT_MS);
+		report.atMost("recovery.dies.longest-gap", 2 * STEP_TIMEOUT_MS);
+		report.atMost("recovery.freezes.longest-gap", 2 * STEP_TIMEOUT_MS);
 		for (String fault : List.of("dies", "freezes", "slows-tenfold")) {
 			report.atMost("recovery." + fault + ".drafts-lost", 0);
 		}
 	}
 
-	private static void measure(Report report, String fault, Consumer<BenchEngines.Server> hit) {
+	private static void measure(Report report, String fault, Consumer<BenchEngines.Server> inject) {
 		try (BenchFleet fleet = new BenchFleet(Policies::ours, 500, 4);
 				ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
-			List<Gaps> gaps = new ArrayList<>();
+			List<GapRecorder> recorders = new ArrayList<>();
 			List<Future<DraftResult>> drafts = new ArrayList<>();
 			for (int i = 0; i < STREAMS; i++) {
-				Gaps sink = new Gaps();
+				GapRecorder sink = new GapRecorder();
 				int index = i;
-				gaps.add(sink);
+				recorders.add(sink);
 				drafts.add(executor.submit(() -> fleet.draft(index, "r" + index, TOKENS, DEADLINE_MS, sink)));
 			}
 			ThroughputBench.pause(FAULT_AFTER_MS);
 			BenchEngines.Server victim = busiest(fleet);
 			long faultNs = System.nanoTime();
-			hit.accept(victim);
+			inject.accept(victim);
 			List<DraftResult> results = drafts.stream().map(RecoveryBench::get).toList();
-			long lost = results.stream().filter((one) -> !(one.outcome() instanceof Outcome.Answered)).count();
-			long again = results.stream().mapToLong((one) -> one.attempts() - 1).sum();
+			long lost = results.stream().filter((result) -> !(result.outcome() instanceof Outcome.Answered)).count();
+			long retries = results.stream().mapToLong((result) -> result.attempts() - 1).sum();
 			String prefix = "recovery." + fault + ".";
 			report.put(prefix + "longest-gap", "ms",
-					gaps.stream().mapToDouble((one) -> one.after(faultNs)).max().orElse(0));
+					recorders.stream().mapToDouble((recorder) -> recorder.longestAfter(faultNs)).max().orElse(0));
 			report.put(prefix + "longest-gap-before", "ms",
-					gaps.stream().mapToDouble((one) -> one.before(faultNs)).max().orElse(0));
-			report.put(prefix + "drafts-resumed", "drafts", again);
+					recorders.stream().mapToDouble((recorder) -> recorder.longestBefore(faultNs)).max().orElse(0));
+			report.put(prefix + "drafts-resumed", "drafts", retries);
 			report.put(prefix + "drafts-lost", "drafts", lost);
 		}
 	}
@@ -89,9 +89,9 @@
 	}
 
 	/**
-	 * When tokens came.
+	 * Records when tokens arrive. Confined to one thread until the draft is completed.
 	 */
-	private static final class Gaps implements TokenSink {
+	private static final class GapRecorder implements TokenSink {
 
 		private final List<Long> timesNs = new ArrayList<>();
 
@@ -105,11 +105,11 @@
 			return false;
 		}
 
-		double after(long sinceNs) {
+		double longestAfter(long sinceNs) {
 			return longest(sinceNs, Long.MAX_VALUE);
 		}
 
-		double before(long untilNs) {
+		double longestBefore(long untilNs) {
 			return longest(Long.MIN_VALUE, untilNs);
 		}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/RecoveryCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/RecoveryCommand.java
@@ -3,9 +3,9 @@
 import com.github.rvesse.airline.annotations.Command;
 
 /**
- * Recovery from a stage's faults.
+ * Measures the recovery from faults of a stage.
  */
-@Command(name = "recovery", description = "From a stage's fault to the callers' next tokens")
+@Command(name = "recovery", description = "Time from the fault of a stage to the callers' next tokens")
 public final class RecoveryCommand extends BenchCommand {
 
 	@Override
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/SlopeBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/SlopeBench.java
@@ -34,19 +34,19 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * The cost of a decision as tables grow to the target's size: the same code over growing
- * tables, no simulated fleet.
+ * Measures the cost of decisions as tables grow to the target size: the same code on
+ * growing tables, without an emulated fleet.
  */
 final class SlopeBench {
 
-	private static final int[] UPSTREAMS = { 47, 470, 1500, 4700 };
+	private static final int[] UPSTREAM_COUNTS = { 47, 470, 1500, 4700 };
 
-	private static final int[] MEMBERS = { 8, 39, 130, 390 };
+	private static final int[] MEMBER_COUNTS = { 8, 39, 130, 390 };
 
-	private static final int[] TEAMS = { 10, 50, 110, 220 };
+	private static final int[] TEAM_COUNTS = { 10, 50, 110, 220 };
 
-	/** Runs between two looks at the clock, so that the look costs little. */
-	private static final int RUNS_BETWEEN_LOOKS = 4;
+	/** Runs between two reads of the clock, which keeps their cost low. */
+	private static final int RUNS_PER_CLOCK_CHECK = 4;
 
 	private static final int REGIONS = 4;
 
@@ -59,7 +59,7 @@
 
 	private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-	/** Keeps results alive, so that the work cannot be left out. */
+	/** Keeps results reachable, so that the compiler cannot eliminate the work. */
 	private volatile Object sink;
 
 	private final long runMs;
@@ -69,20 +69,20 @@
 	}
 
 	void run(Report report) {
-		for (int count : UPSTREAMS) {
+		for (int count : UPSTREAM_COUNTS) {
 			upstreams(report, count);
 		}
-		for (int count : MEMBERS) {
+		for (int count : MEMBER_COUNTS) {
 			members(report, count);
 		}
-		for (int count : TEAMS) {
+		for (int count : TEAM_COUNTS) {
 			teams(report, count);
 		}
 		for (int count : new int[] { 1000, 2000, 4000, 8000 }) {
 			streams(report, count);
 		}
-		// A choice costs the same however large the fleet; a table read whole is
-		// linear, with half as much again for caches.
+		// The cost of a choice does not depend on the size of the fleet. Reading a
+		// complete table is linear, with half as much again for cache effects.
 		report.atMostTimes("choose.4700-upstreams", 10, "choose.47-upstreams");
 		report.atMostTimes("gossip-digest.390-members", 73, "gossip-digest.8-members");
 	}
@@ -90,31 +90,31 @@
 	private void upstreams(Report report, int count) {
 		Configuration configuration = configuration(10);
 		List<Upstream> upstreams = fleet(count);
-		long before = usedBytes();
+		long bytesBefore = usedBytes();
 		UpstreamTable table = new UpstreamTable();
 		table.replace(upstreams);
 		upstreams.forEach((upstream) -> table.load(upstream.id()));
-		report.put("table-memory." + count + "-upstreams", "KB", Math.max(0, usedBytes() - before) / 1024.0);
+		report.put("table-memory." + count + "-upstreams", "KB", Math.max(0, usedBytes() - bytesBefore) / 1024.0);
 		report.put("table-replace." + count + "-upstreams", "us", micros(() -> table.replace(upstreams)));
 		PipelineChooser chooser = new PipelineChooser(table, ChoicePolicy.standard(), Ticker.system(), new Random(1));
 		Placement placement = new Placement(TEAM, new PlaceRules(configuration));
 		Runnable choose = () -> this.sink = chooser.pipeline(MODEL, placement, Set.of());
 		report.put("choose." + count + "-upstreams", "us", micros(choose));
-		report.put("choose-allocation." + count + "-upstreams", "bytes", allocated(choose));
-		List<Upstream> holed = upstreams.stream().filter((one) -> !one.id().endsWith("7")).toList();
+		report.put("choose-allocation." + count + "-upstreams", "bytes", meanAllocatedBytes(choose));
+		List<Upstream> remaining = upstreams.stream().filter((upstream) -> !upstream.id().endsWith("7")).toList();
 		report.put("plan." + count + "-upstreams", "us",
-				micros(() -> this.sink = PlacementPlanner.plan(configuration, holed, 4, 0)));
+				micros(() -> this.sink = PlacementPlanner.plan(configuration, remaining, 4, 0)));
 	}
 
 	private void members(Report report, int count) {
-		long before = usedBytes();
+		long bytesBefore = usedBytes();
 		MembershipTable table = new MembershipTable(member(0), 3000);
 		List<Member> members = new ArrayList<>();
 		for (int i = 1; i < count; i++) {
 			members.add(member(i));
 		}
 		table.merge(members, 0);
-		report.put("members-memory." + count + "-members", "KB", Math.max(0, usedBytes() - before) / 1024.0);
+		report.put("members-memory." + count + "-members", "KB", Math.max(0, usedBytes() - bytesBefore) / 1024.0);
 		Random random = new Random(1);
 		report.put("gossip-digest." + count + "-members", "us", micros(() -> {
 			table.tick(1);
@@ -151,7 +151,7 @@
 	}
 
 	private void streams(Report report, int count) {
-		long before = usedBytes();
+		long bytesBefore = usedBytes();
 		CountDownLatch blocked = new CountDownLatch(count);
 		CountDownLatch release = new CountDownLatch(1);
 		BlockedDrafts drafts = new BlockedDrafts(blocked, release);
@@ -159,7 +159,8 @@
 			drafts.start(i);
 		}
 		await(blocked);
-		report.put("open-streams." + count + "-streams", "KB each", Math.max(0, usedBytes() - before) / 1024.0 / count);
+		report.put("open-streams." + count + "-streams", "KB each",
+				Math.max(0, usedBytes() - bytesBefore) / 1024.0 / count);
 		release.countDown();
 		drafts.join();
 	}
@@ -183,21 +184,21 @@
 		long endNs = startNs + durationMs * 1_000_000;
 		long runs = 0;
 		while (System.nanoTime() < endNs) {
-			for (int i = 0; i < RUNS_BETWEEN_LOOKS; i++) {
+			for (int i = 0; i < RUNS_PER_CLOCK_CHECK; i++) {
 				work.run();
 			}
-			runs += RUNS_BETWEEN_LOOKS;
+			runs += RUNS_PER_CLOCK_CHECK;
 		}
 		return (System.nanoTime() - startNs) / 1000.0 / runs;
 	}
 
-	private static double allocated(Runnable work) {
+	private static double meanAllocatedBytes(Runnable work) {
 		long id = Thread.currentThread().threadId();
-		long before = THREADS.getThreadAllocatedBytes(id);
+		long bytesBefore = THREADS.getThreadAllocatedBytes(id);
 		for (int i = 0; i < 1000; i++) {
 			work.run();
 		}
-		return (THREADS.getThreadAllocatedBytes(id) - before) / 1000.0;
+		return (THREADS.getThreadAllocatedBytes(id) - bytesBefore) / 1000.0;
 	}
 
 	static long usedBytes() {
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/SlopesCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/SlopesCommand.java
@@ -3,9 +3,9 @@
 import com.github.rvesse.airline.annotations.Command;
 
 /**
- * Slopes of the product's decisions over growing tables.
+ * Measures how the cost of decisions grows with the size of tables.
  */
-@Command(name = "slopes", description = "Cost of decisions and memory as tables grow to the target's size")
+@Command(name = "slopes", description = "Cost of decisions and memory as tables grow to the target size")
 public final class SlopesCommand extends BenchCommand {
 
 	@Override
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/SpreadBench.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/SpreadBench.java
@@ -26,8 +26,9 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * The product's peer slice, many members on real connections in one process: how long an
- * accepted configuration takes to all of them, and what a member costs.
+ * Runs many members in one process, with the peer protocol of the product on real
+ * connections. Measures the time until an accepted configuration is in force on all of
+ * them, and the cost of a member.
  */
 final class SpreadBench {
 
@@ -35,7 +36,7 @@
 
 	private static final int TEAMS = 220;
 
-	private static final long LIMIT_MS = 60_000;
+	private static final long TIMEOUT_MS = 60_000;
 
 	private final long steadyMs;
 
@@ -62,34 +63,35 @@
 			}
 			String suffix = "." + size + "-members";
 			report.put("spread-join" + suffix, "ms",
-					until(() -> nodes.stream().allMatch((node) -> node.members.alive().size() == size)));
+					awaitMs(() -> nodes.stream().allMatch((node) -> node.members.alive().size() == size)));
 			ThroughputBench.pause(2000);
-			steady(report, suffix, size);
+			measureSteadyState(report, suffix, size);
 			nodes.get(0).configuration.offer(new Manifest(1, SlopeBench.document(TEAMS), "n"));
-			report.put("spread-in-force" + suffix, "ms",
-					until(() -> nodes.stream().allMatch((node) -> node.configuration.configuration().revision() == 1)));
+			report.put("spread-in-force" + suffix, "ms", awaitMs(
+					() -> nodes.stream().allMatch((node) -> node.configuration.configuration().revision() == 1)));
 		}
 	}
 
-	private void steady(Report report, String suffix, int size) {
-		long cpuNs = cpuNs();
-		long bytes = loopbackBytes();
+	private void measureSteadyState(Report report, String suffix, int size) {
+		long cpuNsBefore = processCpuNs();
+		long bytesBefore = loopbackBytes();
 		ThroughputBench.pause(this.steadyMs);
-		report.put("gossip-cpu" + suffix, "% of a core each", (cpuNs() - cpuNs) / 1e6 / this.steadyMs / size * 100);
-		// Both directions, with the headers of TCP and IP.
+		report.put("gossip-cpu" + suffix, "% of a core each",
+				(processCpuNs() - cpuNsBefore) / 1e6 / this.steadyMs / size * 100);
+		// Counts both directions, including TCP and IP headers.
 		report.put("gossip-traffic" + suffix, "KB/s each",
-				(loopbackBytes() - bytes) / 1024.0 / this.steadyMs * 1000 / size);
+				(loopbackBytes() - bytesBefore) / 1024.0 / this.steadyMs * 1000 / size);
 	}
 
-	private static double until(BooleanSupplier condition) {
+	private static double awaitMs(BooleanSupplier condition) {
 		long startNs = System.nanoTime();
-		while (!condition.getAsBoolean() && System.nanoTime() - startNs < LIMIT_MS * 1_000_000) {
+		while (!condition.getAsBoolean() && System.nanoTime() - startNs < TIMEOUT_MS * 1_000_000) {
 			ThroughputBench.pause(10);
 		}
 		return (System.nanoTime() - startNs) / 1e6;
 	}
 
-	private static long cpuNs() {
+	private static long processCpuNs() {
 		return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getProcessCpuTime();
 	}
 
@@ -115,7 +117,7 @@
 
 		private final PeerServer server;
 
-		private final Thread loop;
+		private final Thread gossipThread;
 
 		Node(int index, List<Integer> ports) {
 			Ticker ticker = Ticker.system();
@@ -126,7 +128,7 @@
 					new UpstreamTable(), new TeamLimits()), transport, ticker, new Random(index));
 			this.server = PeerServer.start(transport, "127.0.0.1", ports.get(index), node);
 			List<String> seeds = List.of("127.0.0.1:" + ports.get(0), "127.0.0.1:" + ports.get(1 % ports.size()));
-			this.loop = Thread.startVirtualThread(() -> {
+			this.gossipThread = Thread.startVirtualThread(() -> {
 				while (!Thread.currentThread().isInterrupted()) {
 					node.gossip(seeds);
 					ThroughputBench.pause(GOSSIP_MS);
@@ -136,7 +138,7 @@
 
 		@Override
 		public void close() {
-			this.loop.interrupt();
+			this.gossipThread.interrupt();
 			this.server.close();
 		}
 
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/SpreadCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/SpreadCommand.java
@@ -3,10 +3,10 @@
 import com.github.rvesse.airline.annotations.Command;
 
 /**
- * Spread of the configuration between members.
+ * Measures how the configuration spreads between members.
  */
 @Command(name = "spread",
-		description = "Members on real connections: joining, cost, and time from accepted to in force")
+		description = "Members on real connections: time to join, cost, and time from accepted to in force")
 public final class SpreadCommand extends BenchCommand {
 
 	@Override
--- a/whinjunction-bench/src/main/java/io/whinjunction/bench/ThroughputCommand.java
+++ b/whinjunction-bench/src/main/java/io/whinjunction/bench/ThroughputCommand.java
@@ -3,9 +3,10 @@
 import com.github.rvesse.airline.annotations.Command;
 
 /**
- * Throughput and first token by policy.
+ * Measures the throughput and the time to the first token by policy.
  */
-@Command(name = "throughput", description = "Throughput against the bound, and first-token time, by policy")
+@Command(name = "throughput",
+		description = "Throughput as a ratio of the bound, and time to the first token, by policy")
 public final class ThroughputCommand extends BenchCommand {
 
 	@Override
