--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -48,9 +48,9 @@
 		return switch (ticket) {
 			case Ticket.Admitted ignored -> null;
 			case Ticket.Refused refused when refused.full() -> Refusal.temporary(Code.OVERLOADED,
-					"More work is waiting than can be done.", seconds(refused.comeBackMs()));
+					"More work is waiting than can be done.", seconds(refused.retryAfterMs()));
 			case Ticket.Refused refused -> Refusal.temporary(Code.DEADLINE, "The answer would come after its deadline.",
-					seconds(refused.comeBackMs()));
+					seconds(refused.retryAfterMs()));
 			case Ticket.Waiting waiting ->
 				await(context, queue, team, AdmissionQueue.waitMs(allowedMs), exchange, waiting);
 		};
@@ -62,7 +62,7 @@
 		while (true) {
 			long remainingMs = endMs - context.ticker().nowMs();
 			try {
-				boolean admitted = waiting.turn()
+				boolean admitted = waiting.admitted()
 					.get(Math.max(1, Math.min(CHECK_INTERVAL_MS, remainingMs)), TimeUnit.MILLISECONDS);
 				return admitted ? null : Refusal.temporary(Code.OVERLOADED,
 						"More work of the team is waiting than can be done; another team came first.", 1);
@@ -70,7 +70,7 @@
 			catch (TimeoutException ex) {
 				boolean canComplete = canComplete(context, queue);
 				boolean over = remainingMs <= 0 || exchange.gone() || !canComplete;
-				if (over && queue.giveUp(team.name(), waiting)) {
+				if (over && queue.cancel(team.name(), waiting)) {
 					return canComplete
 							? Refusal.temporary(Code.DEADLINE, "The request waited as long as its deadline allows.", 1)
 							: Gate.stoppingRefusal();
@@ -78,7 +78,7 @@
 			}
 			catch (InterruptedException ex) {
 				Thread.currentThread().interrupt();
-				return queue.giveUp(team.name(), waiting) ? Gate.stoppingRefusal() : null;
+				return queue.cancel(team.name(), waiting) ? Gate.stoppingRefusal() : null;
 			}
 			catch (ExecutionException ex) {
 				throw new IllegalStateException(ex);
@@ -87,7 +87,7 @@
 	}
 
 	private static boolean canComplete(EntryContext context, AdmissionQueue queue) {
-		return context.gate().hasTimeFor(queue.usualMs());
+		return context.gate().hasTimeFor(queue.typicalServiceMs());
 	}
 
 	private static int seconds(long milliseconds) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -144,7 +144,7 @@
 				context.metrics().firstToken(this.body.model(), nowMs - this.record.startedAtMs());
 			}
 			double estimatedMs = (double) (nowMs - this.enteredMs) * this.body.maxTokens() / this.count;
-			context.drafts().paced(nowMs, estimatedMs, this.allowedMs);
+			context.drafts().recordProgress(nowMs, estimatedMs, this.allowedMs);
 			if (this.body.stream()) {
 				begin();
 				event(chunk(token, null).toString());
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -35,7 +35,7 @@
 import io.whinjunction.platform.ObjectStore;
 import io.whinjunction.session.RetryBudget;
 import io.whinjunction.time.Closer;
-import io.whinjunction.time.RunningTimes;
+import io.whinjunction.time.PauseDetector;
 import io.whinjunction.time.Ticker;
 import io.whinjunction.tls.TlsFiles;
 import io.whinjunction.trace.Tracing;
@@ -93,7 +93,7 @@
 
 	private final Ticker ticker;
 
-	private final RunningTimes runningTimes;
+	private final PauseDetector runningTimes;
 
 	private final Closer closer = new Closer();
 
@@ -135,8 +135,8 @@
 				() -> System.currentTimeMillis() / 1000);
 		Gate gate = new Gate(configuration, freshness, settings.failureDomain(), this.ticker);
 		this.context = new EntryContext(settings, this.ticker, gate, upstreams, members, limits,
-				new AdmissionQueue(ConcurrencyLimit.learned(settings.limits().streams()), settings.limits().waiting()),
-				new AdmissionQueue(ConcurrencyLimit.learned(settings.limits().plainCalls()),
+				new AdmissionQueue(ConcurrencyLimit.adaptive(settings.limits().streams()), settings.limits().waiting()),
+				new AdmissionQueue(ConcurrencyLimit.adaptive(settings.limits().plainCalls()),
 						settings.limits().plainCalls()),
 				new PipelineChooser(upstreams, ChoicePolicy.standard(), this.ticker, random), engines, caller, claims,
 				new RetryBudget(RETRY_RATIO, Math.max(MIN_RETRY_RESERVE, settings.limits().streams())),
@@ -147,7 +147,7 @@
 		PeerNode node = new PeerNode(new PeerNode.NodeState(members, configuration, freshness, upstreams, limits),
 				transport, this.ticker, random);
 		this.closer.register(PeerServer.start(transport, settings.host(), settings.peerPort(), node));
-		this.runningTimes = new RunningTimes(ticker.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
+		this.runningTimes = new PauseDetector(ticker.nowMs(), MAX_RUN_NOTE_INTERVAL_MS);
 		startLoops(new ConfigurationWatcher(store, configuration, freshness, this.ticker, settings.timing().watchMs()),
 				new UpstreamPoller(store, engines, configuration, upstreams), node);
 		this.callers = this.closer.register(HttpServer.start(
@@ -190,7 +190,7 @@
 		// have been sent: whoever waits for the exit does not wait longer for a process
 		// that was suspended before the stop or during the notice.
 		long handledMs = this.ticker.nowMs();
-		long signalledMs = this.runningTimes.earliestOf(handledMs);
+		long signalledMs = this.runningTimes.earliestArrivalMs(handledMs);
 		long rejectFromMs = signalledMs + this.settings.timing().noticeMs();
 		long exitDeadlineMs = rejectFromMs + this.settings.timing().drainMs();
 		logger.atInfo()
@@ -221,7 +221,7 @@
 
 	private void startLoops(ConfigurationWatcher configurationWatch, UpstreamPoller upstreamPoller, PeerNode node) {
 		startLoop("running", RUN_NOTE_INTERVAL_MS, () -> {
-			this.runningTimes.note(this.ticker.nowMs());
+			this.runningTimes.recordActivity(this.ticker.nowMs());
 			return true;
 		});
 		startLoop("configuration", 0, configurationWatch::step);
@@ -235,7 +235,7 @@
 			return true;
 		});
 		startLoop("claims", 1000, () -> {
-			this.context.metrics().state("given_up_claims", this.context.claims().sweepGivenUp());
+			this.context.metrics().state("given_up_claims", this.context.claims().sweepAbandoned());
 			return true;
 		});
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/LeaseTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/LeaseTests.java
@@ -9,7 +9,7 @@
 import io.whinjunction.engine.EngineClient.LoadOrder;
 import io.whinjunction.engine.EngineClient.Step;
 import io.whinjunction.engine.EngineClient.StepResult;
-import io.whinjunction.lease.LeaseKeeper;
+import io.whinjunction.lease.LeaderElector;
 import io.whinjunction.standins.FakeEngine;
 import io.whinjunction.standins.FakeObjectStore;
 import io.whinjunction.standins.FakeObjectStore.Fault;
@@ -44,7 +44,7 @@
 	@Property(seed = "91", tries = 500)
 	void atMostOneActsAndFencingNumbersOnlyIncrease(@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
 		Random random = new Random(seed);
-		List<LeaseKeeper> candidates = List.of(candidate("a"), candidate("b"), candidate("c"));
+		List<LeaderElector> candidates = List.of(candidate("a"), candidate("b"), candidate("c"));
 		long[] suspendedUntilMs = new long[3];
 		long highest = 0;
 		for (int i = 0; i < 300; i++) {
@@ -57,13 +57,13 @@
 					suspendedUntilMs[k] = this.ticker.nowMs() + random.nextInt(20_000);
 				}
 				if (this.ticker.nowMs() >= suspendedUntilMs[k]) {
-					candidates.get(k).step();
+					candidates.get(k).renewOrAcquire();
 				}
 			}
-			List<LeaseKeeper> holding = new ArrayList<>(candidates);
+			List<LeaderElector> holding = new ArrayList<>(candidates);
 			holding.removeIf((candidate) -> !candidate.holds());
 			assertThat(holding).hasSizeLessThanOrEqualTo(1);
-			for (LeaseKeeper holder : holding) {
+			for (LeaderElector holder : holding) {
 				assertThat(holder.fencing()).isGreaterThanOrEqualTo(highest);
 				highest = holder.fencing();
 			}
@@ -72,13 +72,13 @@
 
 	@Test
 	void anotherCandidateTakesOverAfterTheTimeToLive() {
-		LeaseKeeper a = candidate("a");
-		LeaseKeeper b = candidate("b");
-		a.step();
-		b.step();
+		LeaderElector a = candidate("a");
+		LeaderElector b = candidate("b");
+		a.renewOrAcquire();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isTrue();
 		this.ticker.advance(TTL_MS);
-		b.step();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isFalse();
 		assertThat(b.holds()).isTrue();
 		assertThat(b.fencing()).isGreaterThan(a.fencing());
@@ -86,11 +86,11 @@
 
 	@Test
 	void aReleasedLeaseIsAcquiredAtOnce() {
-		LeaseKeeper a = candidate("a");
-		a.step();
+		LeaderElector a = candidate("a");
+		a.renewOrAcquire();
 		a.resign();
-		LeaseKeeper b = candidate("b");
-		b.step();
+		LeaderElector b = candidate("b");
+		b.renewOrAcquire();
 		assertThat(b.holds()).isTrue();
 	}
 
@@ -100,19 +100,19 @@
 	// still acts.
 	@Test
 	void aSlowReadDoesNotMakeTheLeaseOlder() {
-		LeaseKeeper a = candidate("a");
-		a.step();
+		LeaderElector a = candidate("a");
+		a.renewOrAcquire();
 		AtomicBoolean slow = new AtomicBoolean(true);
-		LeaseKeeper b = new LeaseKeeper(new InterleavedStore(this.store, () -> {
+		LeaderElector b = new LeaderElector(new InterleavedStore(this.store, () -> {
 			if (slow.getAndSet(false)) {
 				this.ticker.advance(TTL_MS / 2);
-				a.step();
+				a.renewOrAcquire();
 			}
 		}), "lease", "b", TTL_MS, this.ticker, () -> "b" + this.nonces++);
-		b.step();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isTrue();
 		this.ticker.advance(TTL_MS / 2);
-		b.step();
+		b.renewOrAcquire();
 		assertThat(a.holds()).isTrue();
 		assertThat(b.holds()).isFalse();
 	}
@@ -145,8 +145,8 @@
 		return new Step("s", 1, position, LOWER, generation, List.of("x"), 1);
 	}
 
-	private LeaseKeeper candidate(String id) {
-		return new LeaseKeeper(this.store, "lease", id, TTL_MS, this.ticker, () -> id + this.nonces++);
+	private LeaderElector candidate(String id) {
+		return new LeaderElector(this.store, "lease", id, TTL_MS, this.ticker, () -> id + this.nonces++);
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/Leadership.java
@@ -7,14 +7,14 @@
 
 import com.google.common.flogger.FluentLogger;
 import io.netty.channel.EventLoop;
-import io.whinjunction.lease.LeaseTerm;
+import io.whinjunction.lease.LeaseCandidate;
 import io.whinjunction.store.StoreVersion;
 import io.whinjunction.time.Ticker;
 
 /**
  * Holds, or waits for, the lease under which one router plans layers.
  * <p>
- * {@link LeaseTerm} decides; this class makes the calls. The holder renews the lease
+ * {@link LeaseCandidate} decides; this class makes the calls. The holder renews the lease
  * without reading it. Candidates poll the store only while no router reports that it
  * leads. Stale reads cannot be used for this: while the store served old history, a lease
  * that nobody held appeared to be renewed for seven seconds. Confined to the event loop.
@@ -49,7 +49,7 @@
 
 	private final BooleanSupplier peerLeads;
 
-	private final LeaseTerm term;
+	private final LeaseCandidate term;
 
 	private boolean leading;
 
@@ -69,7 +69,7 @@
 		this.name = name;
 		this.ticker = ticker;
 		this.peerLeads = peerLeads;
-		this.term = new LeaseTerm(name, TIME_TO_LIVE_MS);
+		this.term = new LeaseCandidate(name, TIME_TO_LIVE_MS);
 	}
 
 	void start() {
@@ -96,7 +96,7 @@
 		}
 	}
 
-	private void release(LeaseTerm.Claim claim) {
+	private void release(LeaseCandidate.Claim claim) {
 		LeaseObject free = new LeaseObject("", claim.fencing(), nonce(), claim.expectedVersion());
 		// If the reply is lost, the lease expires on its own.
 		this.store.writeLease(free, (reply) -> logger.atInfo().log("event=lease-given-up reply=\"%s\"", reply));
@@ -107,7 +107,7 @@
 	 * leads.
 	 */
 	void storeRestored() {
-		this.term.returned(this.ticker.nowMs());
+		this.term.storeRestored(this.ticker.nowMs());
 		setLeading(false);
 	}
 
@@ -125,11 +125,11 @@
 		}
 		long nowMs = this.ticker.nowMs();
 		setLeading(this.term.holds(nowMs));
-		Optional<LeaseTerm.Claim> renewal = this.term.renewal(nowMs);
+		Optional<LeaseCandidate.Claim> renewal = this.term.renewal(nowMs);
 		if (renewal.isPresent()) {
 			write(renewal.get(), nowMs);
 		}
-		else if (this.peerLeads.getAsBoolean() && !this.term.heldAtReturn()) {
+		else if (this.peerLeads.getAsBoolean() && !this.term.heldAtRestore()) {
 			scheduleStep(POLL_INTERVAL_MS);
 		}
 		else {
@@ -149,11 +149,11 @@
 		}
 	}
 
-	private void claim(Optional<LeaseTerm.Claim> claim) {
+	private void claim(Optional<LeaseCandidate.Claim> claim) {
 		claim.ifPresentOrElse((present) -> write(present, this.ticker.nowMs()), () -> scheduleStep(POLL_INTERVAL_MS));
 	}
 
-	private void write(LeaseTerm.Claim claim, long startMs) {
+	private void write(LeaseCandidate.Claim claim, long startMs) {
 		if (this.stopped) {
 			return;
 		}
@@ -162,7 +162,7 @@
 				(reply) -> onWritten(reply, claim, nonce, startMs));
 	}
 
-	private void onWritten(StoreReply<LeaseObject> reply, LeaseTerm.Claim claim, String nonce, long startMs) {
+	private void onWritten(StoreReply<LeaseObject> reply, LeaseCandidate.Claim claim, String nonce, long startMs) {
 		switch (reply) {
 			case StoreReply.Found<LeaseObject> found -> confirm(claim, found.value().version(), startMs);
 			case StoreReply.Unavailable<LeaseObject> ignored ->
@@ -185,7 +185,7 @@
 		}
 	}
 
-	private void confirm(LeaseTerm.Claim claim, StoreVersion version, long startMs) {
+	private void confirm(LeaseCandidate.Claim claim, StoreVersion version, long startMs) {
 		this.term.written(claim, version, startMs);
 		setLeading(true);
 		scheduleStep(RENEW_INTERVAL_MS);
