--- a/whinjunction-core/src/main/java/io/whinjunction/http/TimeLimit.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/StallAwareTimeout.java
@@ -18,7 +18,7 @@
  * Invariant: a wait takes at most {@link #longestMs}, one look and the lateness of two.
  * Confined to its caller.
  */
-final class TimeLimit {
+final class StallAwareTimeout {
 
 	/**
 	 * Ten wake-ups a limit cost little, and a tenth of it is soon enough to look again.
@@ -42,7 +42,7 @@
 	 * @param limitMs how long the other side has, in milliseconds
 	 * @param ticker the clock
 	 */
-	TimeLimit(long limitMs, Ticker ticker) {
+	StallAwareTimeout(long limitMs, Ticker ticker) {
 		this.limitMs = limitMs;
 		this.lookMs = Math.max(SHORTEST_LOOK_MS, limitMs / LOOKS);
 		this.ticker = ticker;
--- a/whinjunction-core/src/test/java/io/whinjunction/http/TimeLimitTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/http/StallAwareTimeoutTests.java
@@ -6,9 +6,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link TimeLimit}.
+ * Tests for {@link StallAwareTimeout}.
  */
-class TimeLimitTests {
+class StallAwareTimeoutTests {
 
 	private static final long LIMIT_MS = 250;
 
@@ -89,11 +89,11 @@
 	void aWaitEndsHoweverLateThisProcessIs() throws Exception {
 		this.lateMs = 90;
 		assertThat(await()).isFalse();
-		assertThat(this.nowMs).isLessThanOrEqualTo(TimeLimit.longestMs(LIMIT_MS) + 2 * (this.lateMs + LIMIT_MS / 10));
+		assertThat(this.nowMs).isLessThanOrEqualTo(StallAwareTimeout.longestMs(LIMIT_MS) + 2 * (this.lateMs + LIMIT_MS / 10));
 	}
 
 	private boolean await() throws Exception {
-		return new TimeLimit(LIMIT_MS, new Clock()).await(this::within);
+		return new StallAwareTimeout(LIMIT_MS, new Clock()).await(this::within);
 	}
 
 	private boolean within(long durationMs) {
@@ -117,7 +117,7 @@
 
 		@Override
 		public long nowMs() {
-			return TimeLimitTests.this.nowMs;
+			return StallAwareTimeoutTests.this.nowMs;
 		}
 
 		@Override
