--- a/whinjunction-core/src/main/java/io/whinjunction/http/HttpCaller.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/HttpCaller.java
@@ -72,7 +72,7 @@
 		ListenableFuture<Response> future = null;
 		try {
 			int epoch = this.epochs.getOrDefault(call.address(), 0);
-			Duration limit = Duration.ofMillis(StallAwareTimeout.longestMs(call.timeoutMs()) + LIBRARY_SLACK_MS);
+			Duration limit = Duration.ofMillis(StallAwareTimeout.maxWaitMs(call.timeoutMs()) + LIBRARY_SLACK_MS);
 			future = LibraryCalls.request(this.client, call, epoch, limit).execute(observer);
 			ListenableFuture<Response> answer = future;
 			if (new StallAwareTimeout(call.timeoutMs(), this.ticker).await((durationMs) -> isDone(answer, durationMs))) {
--- a/whinjunction-core/src/main/java/io/whinjunction/http/StallAwareTimeout.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/StallAwareTimeout.java
@@ -15,7 +15,7 @@
  * and is made again. Looking at the lateness of the waiting thread is enough, since what
  * keeps the reading thread alone from running is not starvation.
  * <p>
- * Invariant: a wait takes at most {@link #longestMs}, one look and the lateness of two.
+ * Invariant: a wait takes at most {@link #maxWaitMs}, one look and the lateness of two.
  * Confined to its caller.
  */
 final class StallAwareTimeout {
@@ -53,7 +53,7 @@
 	 * @param limitMs the limit
 	 * @return milliseconds
 	 */
-	static long longestMs(long limitMs) {
+	static long maxWaitMs(long limitMs) {
 		return limitMs * LONGEST_LIMITS;
 	}
 
@@ -66,7 +66,7 @@
 	 */
 	boolean await(Answer answer) throws InterruptedException, ExecutionException {
 		long nowMs = this.ticker.nowMs();
-		long endMs = nowMs + longestMs(this.limitMs);
+		long endMs = nowMs + maxWaitMs(this.limitMs);
 		long countedMs = 0;
 		boolean punctual = true;
 		while (countedMs < this.limitMs && nowMs < endMs) {
--- a/whinjunction-core/src/test/java/io/whinjunction/http/StallAwareTimeoutTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/http/StallAwareTimeoutTests.java
@@ -89,7 +89,7 @@
 	void aWaitEndsHoweverLateThisProcessIs() throws Exception {
 		this.lateMs = 90;
 		assertThat(await()).isFalse();
-		assertThat(this.nowMs).isLessThanOrEqualTo(StallAwareTimeout.longestMs(LIMIT_MS) + 2 * (this.lateMs + LIMIT_MS / 10));
+		assertThat(this.nowMs).isLessThanOrEqualTo(StallAwareTimeout.maxWaitMs(LIMIT_MS) + 2 * (this.lateMs + LIMIT_MS / 10));
 	}
 
 	private boolean await() throws Exception {
