--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/BodyAggregator.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/BodyAggregator.java
@@ -47,7 +47,7 @@
 	@Override
 	protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
 		Reply reply = Reply.json(413, BODY.formatted(this.maxBodyBytes)).with("whin-outcome", "not-run");
-		context.fireUserEventTriggered(new LastAnswer(reply));
+		context.fireUserEventTriggered(new ClosingReply(reply));
 	}
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/LastAnswer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ClosingReply.java
@@ -7,5 +7,5 @@
  *
  * @param reply the answer
  */
-record LastAnswer(Reply reply) {
+record ClosingReply(Reply reply) {
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -47,7 +47,7 @@
 
 	private ChannelExchange current;
 
-	private LastAnswer last;
+	private ClosingReply last;
 
 	private boolean ending;
 
@@ -97,12 +97,12 @@
 	@Override
 	public void userEventTriggered(ChannelHandlerContext context, Object event) {
 		switch (event) {
-			case LastAnswer answer -> end(context, answer);
+			case ClosingReply answer -> end(context, answer);
 			case SlowRequestGuard.TooSlow ignored ->
-				end(context, new LastAnswer(Reply.json(408, TOO_SLOW).with("whin-outcome", "not-run")));
+				end(context, new ClosingReply(Reply.json(408, TOO_SLOW).with("whin-outcome", "not-run")));
 			case RefuseArriving ignored -> {
 				if (this.guard.arriving()) {
-					end(context, new LastAnswer(
+					end(context, new ClosingReply(
 							Reply.json(503, STOPPING).with("whin-outcome", "not-run").with("retry-after", "1")));
 				}
 			}
@@ -155,7 +155,7 @@
 	}
 
 	// Written into a running answer it would spoil that one, and be read as its end.
-	private void end(ChannelHandlerContext context, LastAnswer answer) {
+	private void end(ChannelHandlerContext context, ClosingReply answer) {
 		if (this.ending) {
 			return;
 		}
@@ -168,7 +168,7 @@
 		}
 	}
 
-	private void write(ChannelHandlerContext context, LastAnswer answer) {
+	private void write(ChannelHandlerContext context, ClosingReply answer) {
 		if (this.http2) {
 			this.connections.leave(context.channel());
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HeadGuard.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/HeadGuard.java
@@ -41,7 +41,7 @@
 			if (refusal.isPresent()) {
 				this.closing = true;
 				ReferenceCountUtil.release(message);
-				context.fireUserEventTriggered(new LastAnswer(refusal.get()));
+				context.fireUserEventTriggered(new ClosingReply(refusal.get()));
 				return;
 			}
 		}
