--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HeadGuard.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/HeadGuard.java
@@ -15,7 +15,7 @@
  * Refuses a request by its head, before its body is read.
  * <p>
  * The failures it is there for: a body that must not come to this place at all, and
- * request smuggling ({@link HeadRules}). One per connection or HTTP/2 stream, on its
+ * request smuggling ({@link RequestHeadValidator}). One per connection or HTTP/2 stream, on its
  * event loop.
  */
 final class HeadGuard extends ChannelInboundHandlerAdapter {
@@ -49,7 +49,7 @@
 	}
 
 	private Optional<Reply> refusal(HttpRequest head) {
-		Optional<String> problem = HeadRules.problem(head);
+		Optional<String> problem = RequestHeadValidator.problem(head);
 		if (problem.isPresent()) {
 			return bad(problem.get());
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HeadRules.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/RequestHeadValidator.java
@@ -15,9 +15,9 @@
  * length or an unreadable line is refused and its connection ends, so that no later byte
  * can be misread. Stateless.
  */
-public final class HeadRules {
+public final class RequestHeadValidator {
 
-	private HeadRules() {
+	private RequestHeadValidator() {
 	}
 
 	/**
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/StrictRequestDecoder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/StrictRequestDecoder.java
@@ -6,7 +6,7 @@
 
 /**
  * Reads requests and hides nothing of their lengths. The library's own decoder drops a
- * content-length that stands beside a transfer-encoding, so that {@link HeadRules} could
+ * content-length that stands beside a transfer-encoding, so that {@link RequestHeadValidator} could
  * not see the conflict and would let through what another reader on the way may have
  * ended elsewhere. One per connection.
  */
--- a/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/CallerConnection.java
@@ -29,7 +29,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import io.whinjunction.forward.RequestFingerprint;
-import io.whinjunction.http.server.HeadRules;
+import io.whinjunction.http.server.RequestHeadValidator;
 
 /**
  * Serves the connection of one caller: its requests one after the other, with the answers
@@ -121,7 +121,7 @@
 		this.bodyOpen = true;
 		this.headRequest = HttpMethod.HEAD.equals(head.method());
 		this.keepAlive = HttpUtil.isKeepAlive(head);
-		Optional<String> problem = HeadRules.problem(head);
+		Optional<String> problem = RequestHeadValidator.problem(head);
 		if (problem.isPresent()) {
 			refuseHead(head, problem.get());
 			return;
