--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -100,7 +100,7 @@
 			case ClosingReply answer -> end(context, answer);
 			case SlowRequestGuard.TooSlow ignored ->
 				end(context, new ClosingReply(Reply.json(408, TOO_SLOW).with("whin-outcome", "not-run")));
-			case RefuseArriving ignored -> {
+			case RefuseIncomplete ignored -> {
 				if (this.guard.arriving()) {
 					end(context, new ClosingReply(
 							Reply.json(503, STOPPING).with("whin-outcome", "not-run").with("retry-after", "1")));
@@ -193,7 +193,7 @@
 	/**
 	 * The event that refuses a request of which only a part has arrived.
 	 */
-	record RefuseArriving() {
+	record RefuseIncomplete() {
 	}
 
 	private record Pending(Request request, boolean keepAlive) {
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServer.java
@@ -89,8 +89,8 @@
 	 * Refuses the requests of which a part has arrived: their callers hear that they did
 	 * not run. Returns when the refusals are written.
 	 */
-	public void refuseArriving() {
-		this.connections.signal(new ExchangeHandler.RefuseArriving());
+	public void refuseIncomplete() {
+		this.connections.signal(new ExchangeHandler.RefuseIncomplete());
 		// The events are handled in order: an empty task is done after them.
 		this.group.forEach((loop) -> loop.submit(() -> {
 		}).awaitUninterruptibly());
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -191,7 +191,7 @@
 		this.callers.endConnections();
 		this.parts.members().leave(this.ticker.nowMs());
 		this.parts.gate().stopAfter(refusesAtMs - this.ticker.nowMs());
-		this.callers.refuseArriving();
+		this.callers.refuseIncomplete();
 		int left = this.inProgress.awaitNone(endsAtMs - this.ticker.nowMs());
 		if (left > 0) {
 			logger.atSevere()
