--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
@@ -187,7 +187,7 @@
 			this.connections.leave(this.channel);
 		}
 		else {
-			this.closing |= this.connections.ending();
+			this.closing |= this.connections.draining();
 		}
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServer.java
@@ -81,8 +81,8 @@
 	 * From now on each answer tells its caller to leave the connection. Requests on new
 	 * and open ones are taken as before.
 	 */
-	public void endConnections() {
-		this.connections.end();
+	public void drainConnections() {
+		this.connections.startDraining();
 	}
 
 	/**
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/OpenConnections.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/OpenConnections.java
@@ -23,7 +23,7 @@
 	/** Whose caller still sends, and must have time to read its last answer. */
 	private final ChannelGroup lingering = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
-	private volatile boolean ending;
+	private volatile boolean draining;
 
 	void opened(Channel channel) {
 		this.channels.add(channel);
@@ -41,12 +41,12 @@
 		this.lingering.newCloseFuture().awaitUninterruptibly(limitMs);
 	}
 
-	void end() {
-		this.ending = true;
+	void startDraining() {
+		this.draining = true;
 	}
 
-	boolean ending() {
-		return this.ending;
+	boolean draining() {
+		return this.draining;
 	}
 
 	void signal(Object event) {
@@ -59,7 +59,7 @@
 	 * @param stream one of the connection's streams
 	 */
 	void leave(Channel stream) {
-		if (this.ending) {
+		if (this.draining) {
 			stream.parent()
 				.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(Integer.MAX_VALUE));
 		}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -188,7 +188,7 @@
 			.log("entry %s is stopping, %d in progress, handled %d ms late", this.settings.id(),
 					this.inProgress.count(), handledMs - signalledMs);
 		this.parts.gate().endsAt(endsAtMs);
-		this.callers.endConnections();
+		this.callers.drainConnections();
 		this.parts.members().leave(this.ticker.nowMs());
 		this.parts.gate().stopAfter(refusesAtMs - this.ticker.nowMs());
 		this.callers.refuseIncomplete();
