--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
@@ -184,7 +184,7 @@
 	// A stream that has begun can't be told any more; the next answer tells its caller.
 	private void tellToLeave() {
 		if (this.http2) {
-			this.connections.leave(this.channel);
+			this.connections.sendGoAway(this.channel);
 		}
 		else {
 			this.closing |= this.connections.draining();
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -170,7 +170,7 @@
 
 	private void write(ChannelHandlerContext context, ClosingReply answer) {
 		if (this.http2) {
-			this.connections.leave(context.channel());
+			this.connections.sendGoAway(context.channel());
 		}
 		ChannelFuture written = context.writeAndFlush(Responses.whole(answer.reply(), true));
 		if (!this.guard.arriving()) {
@@ -186,7 +186,7 @@
 		}
 		// The rest of the request is read and dropped. It would reset a connection that
 		// is closed at once, and the caller would see that in place of the answer.
-		this.connections.lingers(context.channel());
+		this.connections.addLingering(context.channel());
 		context.executor().schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/OpenConnections.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/OpenConnections.java
@@ -29,7 +29,7 @@
 		this.channels.add(channel);
 	}
 
-	void lingers(Channel channel) {
+	void addLingering(Channel channel) {
 		this.lingering.add(channel);
 	}
 
@@ -58,7 +58,7 @@
 	 * to end. Streams on their way are still taken: a lower last stream would drop them.
 	 * @param stream one of the connection's streams
 	 */
-	void leave(Channel stream) {
+	void sendGoAway(Channel stream) {
 		if (this.draining) {
 			stream.parent()
 				.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR).setExtraStreamIds(Integer.MAX_VALUE));
