--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -60,7 +60,7 @@
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) {
-		this.guard.arrived();
+		this.guard.requestComplete();
 		if (this.ending) {
 			return;
 		}
@@ -101,7 +101,7 @@
 			case SlowRequestGuard.TooSlow ignored ->
 				end(context, new ClosingReply(Reply.json(408, TOO_SLOW).with("whin-outcome", "not-run")));
 			case RefuseIncomplete ignored -> {
-				if (this.guard.arriving()) {
+				if (this.guard.receiving()) {
 					end(context, new ClosingReply(
 							Reply.json(503, STOPPING).with("whin-outcome", "not-run").with("retry-after", "1")));
 				}
@@ -173,7 +173,7 @@
 			this.connections.sendGoAway(context.channel());
 		}
 		ChannelFuture written = context.writeAndFlush(Responses.whole(answer.reply(), true));
-		if (!this.guard.arriving()) {
+		if (!this.guard.receiving()) {
 			written.addListener(ChannelFutureListener.CLOSE);
 			return;
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/SlowRequestGuard.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/SlowRequestGuard.java
@@ -38,14 +38,14 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		arrived();
+		requestComplete();
 		context.fireChannelInactive();
 	}
 
 	/**
 	 * The request is whole.
 	 */
-	void arrived() {
+	void requestComplete() {
 		this.busy = true;
 		if (this.timer != null) {
 			this.timer.cancel(false);
@@ -57,7 +57,7 @@
 	 * Whether a request has begun to arrive and is not whole.
 	 * @return {@code false} between requests and while one is answered
 	 */
-	boolean arriving() {
+	boolean receiving() {
 		return this.timer != null;
 	}
 
