--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -98,7 +98,7 @@
 	public void userEventTriggered(ChannelHandlerContext context, Object event) {
 		switch (event) {
 			case ClosingReply answer -> end(context, answer);
-			case SlowRequestGuard.TooSlow ignored ->
+			case SlowRequestGuard.RequestTimedOut ignored ->
 				end(context, new ClosingReply(Reply.json(408, TOO_SLOW).with("whin-outcome", "not-run")));
 			case RefuseIncomplete ignored -> {
 				if (this.guard.receiving()) {
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/SlowRequestGuard.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/SlowRequestGuard.java
@@ -30,7 +30,7 @@
 	public void channelRead(ChannelHandlerContext context, Object message) {
 		if (this.timer == null && !this.busy) {
 			this.timer = context.executor()
-				.schedule(() -> context.pipeline().fireUserEventTriggered(new TooSlow()), this.timeoutMs,
+				.schedule(() -> context.pipeline().fireUserEventTriggered(new RequestTimedOut()), this.timeoutMs,
 						TimeUnit.MILLISECONDS);
 		}
 		context.fireChannelRead(message);
@@ -79,7 +79,7 @@
 	/**
 	 * The event that ends the request.
 	 */
-	record TooSlow() {
+	record RequestTimedOut() {
 	}
 
 }
