--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
@@ -86,7 +86,7 @@
 		Reply whole = this.request.method().equals("HEAD") ? new Reply(reply.status(), reply.headers(), new byte[0])
 				: reply;
 		tellToLeave();
-		finish(this.channel.writeAndFlush(Responses.whole(whole, this.closing)));
+		finish(this.channel.writeAndFlush(Responses.full(whole, this.closing)));
 	}
 
 	@Override
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -172,7 +172,7 @@
 		if (this.http2) {
 			this.connections.sendGoAway(context.channel());
 		}
-		ChannelFuture written = context.writeAndFlush(Responses.whole(answer.reply(), true));
+		ChannelFuture written = context.writeAndFlush(Responses.full(answer.reply(), true));
 		if (!this.guard.receiving()) {
 			written.addListener(ChannelFutureListener.CLOSE);
 			return;
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Responses.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Responses.java
@@ -20,7 +20,7 @@
 	private Responses() {
 	}
 
-	static FullHttpResponse whole(Reply reply, boolean close) {
+	static FullHttpResponse full(Reply reply, boolean close) {
 		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 				HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
 		add(response.headers(), reply.headers());
