--- a/whinjunction-core/src/main/java/io/whinjunction/http/AsyncCaller.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/AsyncCaller.java
@@ -26,26 +26,28 @@
 import org.asynchttpclient.Response;
 
 /**
- * Makes outgoing calls through AsyncHttpClient without blocking, on one event loop that
- * the rest of a process runs on too.
+ * Makes outgoing calls through AsyncHttpClient without blocking, on the event loop that
+ * the rest of the process also runs on.
  * <p>
- * Invariants: a call is written at most once; its result comes once, on the event loop,
- * at the latest when its time limit is over. Confined to the event loop.
+ * Invariants: a call is written at most once; its result is delivered exactly once, on
+ * the event loop, no later than the call's timeout. Confined to the event loop.
  */
 public final class AsyncCaller implements AutoCloseable {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** The library's limit goes off after ours, so that ours decides. */
+	/**
+	 * Added to the library's timeout, so that the timeout of this class expires first.
+	 */
 	private static final long LIBRARY_SLACK_MS = 2000;
 
-	/** Connecting inside a region takes milliseconds; a lost packet costs a second. */
+	/** Connecting within a region takes milliseconds; a lost packet costs a second. */
 	private static final int CONNECT_TIMEOUT_MS = 500;
 
-	/** Shorter than what lies between keeps track of idle connections. */
+	/** Shorter than the time for which middleboxes track idle connections. */
 	private static final int IDLE_CONNECTION_MS = 10_000;
 
-	/** The library's timer decides nothing here; a slow tick costs fewer wake-ups. */
+	/** No result depends on the library's timer, so a long tick saves wake-ups. */
 	private static final long TICK_MS = 1000;
 
 	private final EventLoop loop;
@@ -54,12 +56,15 @@
 
 	private final AsyncHttpClient client;
 
-	/** Raised by each silent call; kept connections of older epochs are left. */
+	/**
+	 * The connection epoch of each address. A call that times out increments it, so that
+	 * pooled connections of older epochs are not reused.
+	 */
 	private final Map<String, Integer> epochs = new HashMap<>();
 
 	/**
-	 * A caller.
-	 * @param group the group whose first event loop everything runs on
+	 * Creates a caller.
+	 * @param group the event loop group; everything runs on its next event loop
 	 */
 	public AsyncCaller(EventLoopGroup group) {
 		this.loop = group.next();
@@ -79,20 +84,20 @@
 
 	/**
 	 * Makes one call.
-	 * @param call what to send
-	 * @param done takes what is known of it
+	 * @param call the call to send
+	 * @param done receives the result
 	 */
 	public void call(Call call, Consumer<CallResult> done) {
 		Pending pending = new Pending(call, done);
 		int epoch = this.epochs.getOrDefault(call.address(), 0);
 		ListenableFuture<Response> future = LibraryCalls
 			.request(this.client, call, epoch, Duration.ofMillis(call.timeoutMs() + LIBRARY_SLACK_MS))
-			.execute(new LibraryCalls.Observer((result) -> this.loop.execute(() -> pending.end(result))));
-		pending.limit(future);
+			.execute(new LibraryCalls.Observer((result) -> this.loop.execute(() -> pending.complete(result))));
+		pending.startTimeout(future);
 	}
 
-	// The library would read all trusted certificates when it starts, 150 ms of a core,
-	// for calls that are never encrypted.
+	// With the default factory the library loads all trusted certificates at start, which
+	// takes 150 ms of CPU time, for calls that are never encrypted.
 	private static SSLEngine noTls(AsyncHttpClientConfig config, String host, int port) {
 		throw new IllegalStateException("calls to " + host + ":" + port + " are not encrypted");
 	}
@@ -108,48 +113,48 @@
 		}
 	}
 
-	/** A call under way; confined to the event loop. */
+	/** A call in progress; confined to the event loop. */
 	private final class Pending {
 
 		private final Call call;
 
 		private final Consumer<CallResult> done;
 
-		private boolean ended;
+		private boolean completed;
 
-		private Future<?> limit;
+		private Future<?> timeout;
 
 		Pending(Call call, Consumer<CallResult> done) {
 			this.call = call;
 			this.done = done;
 		}
 
-		void limit(ListenableFuture<Response> future) {
-			if (!this.ended) {
-				this.limit = AsyncCaller.this.loop.schedule(() -> onTimeout(future), this.call.timeoutMs(),
+		void startTimeout(ListenableFuture<Response> future) {
+			if (!this.completed) {
+				this.timeout = AsyncCaller.this.loop.schedule(() -> onTimeout(future), this.call.timeoutMs(),
 						TimeUnit.MILLISECONDS);
 			}
 		}
 
 		private void onTimeout(ListenableFuture<Response> future) {
-			if (this.ended) {
+			if (this.completed) {
 				return;
 			}
-			// Something between the two ends may have lost track of all open connections;
-			// each kept one would cost a whole time limit.
+			// A middlebox may have dropped the state of all open connections; each pooled
+			// one would then cost a full timeout.
 			AsyncCaller.this.epochs.merge(this.call.address(), 1, Integer::sum);
 			String reason = "no answer in " + this.call.timeoutMs() + " ms";
-			end(new CallResult.Lost(reason, true));
+			complete(new CallResult.Lost(reason, true));
 			future.abort(new TimeoutException(reason));
 		}
 
-		void end(CallResult result) {
-			if (this.ended) {
+		void complete(CallResult result) {
+			if (this.completed) {
 				return;
 			}
-			this.ended = true;
-			if (this.limit != null) {
-				this.limit.cancel(false);
+			this.completed = true;
+			if (this.timeout != null) {
+				this.timeout.cancel(false);
 			}
 			try {
 				this.done.accept(result);
--- a/whinjunction-core/src/main/java/io/whinjunction/http/Call.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/Call.java
@@ -11,10 +11,10 @@
  * @param method the method
  * @param address {@code HOST:PORT}
  * @param pathAndQuery the rest of the URL, from the slash
- * @param headers headers to send
+ * @param headers the headers to send
  * @param body the body; empty for none
- * @param timeoutMs the whole call's limit, in milliseconds
- * @param freshConnection whether to avoid connections that were open before
+ * @param timeoutMs the timeout of the whole call, in milliseconds
+ * @param freshConnection whether to open a new connection instead of reusing a pooled one
  */
 public record Call(String method, String address, String pathAndQuery, List<Map.Entry<String, String>> headers,
 		byte[] body, long timeoutMs, boolean freshConnection) {
@@ -22,10 +22,10 @@
 	private static final byte[] NO_BODY = {};
 
 	/**
-	 * A call without a body on a kept connection.
+	 * Creates a GET call that may reuse a pooled connection.
 	 * @param address {@code HOST:PORT}
 	 * @param pathAndQuery path and query
-	 * @param timeoutMs the whole call's limit
+	 * @param timeoutMs the timeout of the whole call, in milliseconds
 	 * @return the call
 	 */
 	public static Call fetch(String address, String pathAndQuery, long timeoutMs) {
@@ -33,10 +33,10 @@
 	}
 
 	/**
-	 * A call that removes what is at a path, on a kept connection.
+	 * Creates a DELETE call that may reuse a pooled connection.
 	 * @param address {@code HOST:PORT}
 	 * @param pathAndQuery path and query
-	 * @param timeoutMs the whole call's limit
+	 * @param timeoutMs the timeout of the whole call, in milliseconds
 	 * @return the call
 	 */
 	public static Call remove(String address, String pathAndQuery, long timeoutMs) {
@@ -44,12 +44,12 @@
 	}
 
 	/**
-	 * A call with a JSON body on a kept connection.
+	 * Creates a call with a JSON body that may reuse a pooled connection.
 	 * @param method the method
 	 * @param address {@code HOST:PORT}
 	 * @param pathAndQuery path and query
 	 * @param json the body
-	 * @param timeoutMs the whole call's limit
+	 * @param timeoutMs the timeout of the whole call, in milliseconds
 	 * @return the call
 	 */
 	public static Call json(String method, String address, String pathAndQuery, String json, long timeoutMs) {
@@ -58,15 +58,15 @@
 	}
 
 	/**
-	 * The same call with one more header.
-	 * @param name the header
-	 * @param value its value
+	 * Returns a copy of this call with one more header.
+	 * @param name the header name
+	 * @param value the header value
 	 * @return a new call
 	 */
 	public Call with(String name, String value) {
-		List<Map.Entry<String, String>> more = new ArrayList<>(this.headers);
-		more.add(Map.entry(name, value));
-		return new Call(this.method, this.address, this.pathAndQuery, List.copyOf(more), this.body, this.timeoutMs,
+		List<Map.Entry<String, String>> extended = new ArrayList<>(this.headers);
+		extended.add(Map.entry(name, value));
+		return new Call(this.method, this.address, this.pathAndQuery, List.copyOf(extended), this.body, this.timeoutMs,
 				this.freshConnection);
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/CallResult.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/CallResult.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * What is known of an outgoing call. Immutable.
+ * The result of an outgoing call. Immutable.
  */
 public sealed interface CallResult {
 
 	/**
-	 * A whole response came.
+	 * A complete response was received.
 	 *
 	 * @param status the status
 	 * @param headers the headers in order
@@ -19,7 +19,7 @@
 	record Response(int status, List<Map.Entry<String, String>> headers, byte[] body) implements CallResult {
 
 		/**
-		 * The body as text.
+		 * Returns the body decoded as UTF-8.
 		 * @return the text
 		 */
 		public String text() {
@@ -29,18 +29,18 @@
 	}
 
 	/**
-	 * No byte of the request was written: the other side cannot have seen it.
+	 * No byte of the request was written, so the other side cannot have received it.
 	 *
-	 * @param reason why, for the log
+	 * @param reason the reason, for the log
 	 */
 	record NotSent(String reason) implements CallResult {
 	}
 
 	/**
-	 * The request may have been seen; no whole response came.
+	 * The request may have been received, but no complete response arrived.
 	 *
-	 * @param reason why, for the log
-	 * @param silent whether the timeout ended it
+	 * @param reason the reason, for the log
+	 * @param silent whether the call timed out
 	 */
 	record Lost(String reason, boolean silent) implements CallResult {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/HttpCaller.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/HttpCaller.java
@@ -19,15 +19,16 @@
 /**
  * Makes outgoing calls through AsyncHttpClient and blocks the calling virtual thread.
  * <p>
- * Invariant: a call is written at most once. The library's own retries and redirects are
- * off, since either would repeat an action that ran although its answer was lost; the
- * caller decides on retries from {@link CallResult}. Safe for all threads.
+ * Invariant: a call is written at most once. The library's retries and redirects are
+ * disabled, because either could repeat an action that ran but whose response was lost;
+ * the caller decides on retries from the {@link CallResult}. Thread-safe.
  */
 public final class HttpCaller implements AutoCloseable {
 
 	/**
-	 * Every call is ended by our own limit. The library's timer would also go off where
-	 * this process stood still, so it lies beyond any standstill worth waiting for.
+	 * Added to the library's timeout. Every call is bounded by {@link StallAwareTimeout};
+	 * the library's timer also fires after a stall of this process, so it is set beyond
+	 * any stall worth waiting for.
 	 */
 	private static final long LIBRARY_SLACK_MS = 60_000;
 
@@ -36,16 +37,17 @@
 	private final AsyncHttpClient client;
 
 	/**
-	 * Raised for an address by each silent call; kept connections of older epochs are
-	 * left.
+	 * The connection epoch of each address. A call that times out increments it, so that
+	 * pooled connections of older epochs are not reused.
 	 */
 	private final ConcurrentMap<String, Integer> epochs = new ConcurrentHashMap<>();
 
 	/**
-	 * A caller with its own connections.
-	 * @param connectTimeoutMs how long connecting may take
-	 * @param idleConnectionMs how long an idle connection is kept; shorter than what
-	 * middle boxes keep, so that silent ones are rarely met
+	 * Creates a caller with its own connection pool.
+	 * @param connectTimeoutMs the connect timeout, in milliseconds
+	 * @param idleConnectionMs how long an idle connection is pooled, in milliseconds;
+	 * shorter than the idle time-out of middleboxes, so that dead connections are rarely
+	 * reused
 	 */
 	public HttpCaller(int connectTimeoutMs, int idleConnectionMs) {
 		this.client = Dsl.asyncHttpClient(
@@ -62,28 +64,33 @@
 
 	/**
 	 * Makes one call.
-	 * @param call what to send
-	 * @return what is known of it
+	 * @param call the call to send
+	 * @return its result
 	 */
 	public CallResult call(Call call) {
-		// The result is taken from the future; the observer only knows what was written.
+		// The result is taken from the future; the observer only tracks whether the
+		// request was written.
 		LibraryCalls.Observer observer = new LibraryCalls.Observer((result) -> {
 		});
 		ListenableFuture<Response> future = null;
 		try {
 			int epoch = this.epochs.getOrDefault(call.address(), 0);
-			Duration limit = Duration.ofMillis(StallAwareTimeout.maxWaitMs(call.timeoutMs()) + LIBRARY_SLACK_MS);
-			future = LibraryCalls.request(this.client, call, epoch, limit).execute(observer);
-			ListenableFuture<Response> answer = future;
-			if (new StallAwareTimeout(call.timeoutMs(), this.ticker).await((durationMs) -> isDone(answer, durationMs))) {
+			Duration libraryTimeout = Duration
+				.ofMillis(StallAwareTimeout.maxWaitMs(call.timeoutMs()) + LIBRARY_SLACK_MS);
+			future = LibraryCalls.request(this.client, call, epoch, libraryTimeout).execute(observer);
+			ListenableFuture<Response> pending = future;
+			if (new StallAwareTimeout(call.timeoutMs(), this.ticker)
+				.await((durationMs) -> isDone(pending, durationMs))) {
 				return LibraryCalls.response(future.get());
 			}
 			future.cancel(true);
-			// The failure: something between the two ends has lost track of all open
-			// connections; each kept one would cost a whole timeout. A new epoch leaves
-			// them all at the first, and new connections are tried.
+			// Guards against a middlebox that has dropped the state of all open
+			// connections: each pooled one would cost a full timeout. A new epoch
+			// abandons all of them after the first timeout, and new connections are
+			// opened.
 			this.epochs.merge(call.address(), 1, Integer::sum);
-			// After cancel no byte can follow; what was written before it counts.
+			// No byte is written after cancel; the result depends on what was written
+			// before.
 			return observer.lost("no answer in " + call.timeoutMs() + " ms", true);
 		}
 		catch (ExecutionException ex) {
@@ -91,7 +98,8 @@
 			return observer.lost(String.valueOf(ex.getCause()), silent);
 		}
 		catch (IllegalArgumentException ex) {
-			// The library can't form the request, a path that is no URL for example.
+			// The library cannot build the request, for example because the path is not a
+			// valid URL.
 			return observer.lost(String.valueOf(ex.getMessage()), false);
 		}
 		catch (InterruptedException ex) {
--- a/whinjunction-core/src/main/java/io/whinjunction/http/LibraryCalls.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/LibraryCalls.java
@@ -15,7 +15,7 @@
 import org.asynchttpclient.netty.request.NettyRequest;
 
 /**
- * Calls and results in the types of AsyncHttpClient. Stateless.
+ * Converts calls and results to and from the types of AsyncHttpClient. Stateless.
  */
 final class LibraryCalls {
 
@@ -25,10 +25,11 @@
 	/**
 	 * Builds a request.
 	 * @param client the library's client
-	 * @param call what to send
-	 * @param epoch kept connections of other epochs are not used
-	 * @param limit the library's own time limit
-	 * @return the request, not sent yet
+	 * @param call the call to send
+	 * @param epoch the connection epoch; pooled connections of other epochs are not
+	 * reused
+	 * @param limit the library's own timeout
+	 * @return the request, not yet sent
 	 */
 	static BoundRequestBuilder request(AsyncHttpClient client, Call call, int epoch, Duration limit) {
 		BoundRequestBuilder request = client.prepare(call.method(), "http://" + call.address() + call.pathAndQuery());
@@ -37,12 +38,13 @@
 		}
 		Object partition = new Partition(call.address(), epoch);
 		if (call.freshConnection()) {
-			// A key of its own per call: no kept connection can match it.
+			// The partition key is unique to the call, so no pooled connection matches
+			// it.
 			request.setHeader("connection", "close");
 			partition = new Object();
 		}
-		Object chosen = partition;
-		request.setChannelPoolPartitioning((uri, virtualHost, proxy) -> chosen);
+		Object poolKey = partition;
+		request.setChannelPoolPartitioning((uri, virtualHost, proxy) -> poolKey);
 		if (call.body().length > 0) {
 			request.setBody(call.body());
 		}
@@ -50,9 +52,9 @@
 	}
 
 	/**
-	 * Translates a response.
-	 * @param response the library's
-	 * @return ours
+	 * Converts a response of the library.
+	 * @param response the library's response
+	 * @return the call result
 	 */
 	static CallResult.Response response(Response response) {
 		List<Map.Entry<String, String>> headers = new ArrayList<>();
@@ -64,37 +66,38 @@
 	}
 
 	/**
-	 * Hears of a call's end, and notes when the request is handed to a connected channel:
-	 * the point of no return.
+	 * Receives a call's result and records when the request is handed to a connected
+	 * channel, after which it counts as written.
 	 * <p>
-	 * The failure it is there for: on a starved machine a call's time is over before it
-	 * has connected. It is told as not sent, and another one is made elsewhere; if the
-	 * library then still wrote it, an action would run twice. Whoever is first decides: a
-	 * call that was told as not sent may no longer be written, and the library drops the
-	 * connection instead. Safe for the library's threads.
+	 * Guards against an action that runs twice: on a machine short of CPU a call times
+	 * out before it has connected. It is reported as not sent and is made again to
+	 * another upstream; if the library then wrote it after all, the action would run
+	 * twice. Whichever happens first decides: a call that was reported as not sent can no
+	 * longer be written, and the library drops the connection instead. Safe for use by
+	 * the library's threads.
 	 */
 	static final class Observer extends AsyncCompletionHandler<Response> {
 
 		private final Consumer<CallResult> done;
 
-		private final AtomicReference<Fate> fate = new AtomicReference<>(Fate.OPEN);
+		private final AtomicReference<Fate> state = new AtomicReference<>(Fate.PENDING);
 
 		/**
-		 * An observer.
-		 * @param done takes the result; may be called on a thread of the library
+		 * Creates an observer.
+		 * @param done receives the result; may be called on a thread of the library
 		 */
 		Observer(Consumer<CallResult> done) {
 			this.done = done;
 		}
 
 		boolean written() {
-			return this.fate.get() == Fate.WRITTEN;
+			return this.state.get() == Fate.WRITTEN;
 		}
 
 		@Override
 		public void onRequestSend(NettyRequest request) {
-			if (!this.fate.compareAndSet(Fate.OPEN, Fate.WRITTEN) && !written()) {
-				throw new IllegalStateException("the call was given up before it was written");
+			if (!this.state.compareAndSet(Fate.PENDING, Fate.WRITTEN) && !written()) {
+				throw new IllegalStateException("the call was abandoned before it was written");
 			}
 		}
 
@@ -110,20 +113,20 @@
 		}
 
 		/**
-		 * What is known where no whole response came. A call that was not written by now
-		 * never will be.
-		 * @param reason why
-		 * @param silent whether a time limit ended it
+		 * Returns the result of a call without a complete response. A call that has not
+		 * been written by now never will be.
+		 * @param reason the reason, for the log
+		 * @param silent whether the call timed out
 		 * @return the result
 		 */
 		CallResult lost(String reason, boolean silent) {
-			this.fate.compareAndSet(Fate.OPEN, Fate.GIVEN_UP);
+			this.state.compareAndSet(Fate.PENDING, Fate.ABANDONED);
 			return written() ? new CallResult.Lost(reason, silent) : new CallResult.NotSent(reason);
 		}
 
 		private enum Fate {
 
-			OPEN, WRITTEN, GIVEN_UP
+			PENDING, WRITTEN, ABANDONED
 
 		}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/StallAwareTimeout.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/StallAwareTimeout.java
@@ -5,62 +5,66 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * Waits for an answer within a limit that counts only time in which this process ran.
+ * Waits for an answer with a timeout that counts only time during which this process ran.
  * <p>
- * The failure it is there for: a starved process stands still for longer than a limit.
- * The thread that reads connections and the one that waits stood still together, so the
- * limit is over while the answer lies unread, and all upstreams with work under way are
- * taken for silent at once, though they are well. The wait is cut into looks; one that
- * returns late shows that this process did not run, proves nothing about the other side
- * and is made again. Looking at the lateness of the waiting thread is enough, since what
- * keeps the reading thread alone from running is not starvation.
+ * Guards against a process short of CPU that stalls for longer than a timeout. The thread
+ * that reads connections and the thread that waits stall together, so the timeout expires
+ * while the answer is still unread, and all upstreams with work in progress are taken for
+ * unresponsive at once although they are healthy. The wait is divided into polls; a poll
+ * that returns late shows that this process did not run. It proves nothing about the
+ * other side and is repeated. Measuring the delay of the waiting thread is sufficient,
+ * because a cause that keeps only the reading thread from running is not CPU starvation.
  * <p>
- * Invariant: a wait takes at most {@link #maxWaitMs}, one look and the lateness of two.
- * Confined to its caller.
+ * Invariant: a wait takes at most {@link #maxWaitMs} plus one poll and the delay of two
+ * polls. Confined to its caller.
  */
 final class StallAwareTimeout {
 
 	/**
-	 * Ten wake-ups a limit cost little, and a tenth of it is soon enough to look again.
+	 * Ten wake-ups per timeout cost little, and a tenth of the timeout is a short enough
+	 * poll interval.
 	 */
-	private static final int LOOKS = 10;
+	private static final int POLLS_PER_TIMEOUT = 10;
 
-	/** Shorter looks would take the usual lateness of timers for a standstill. */
-	private static final long SHORTEST_LOOK_MS = 20;
+	/** Shorter polls would mistake the usual delay of timers for a stall. */
+	private static final long MIN_POLL_MS = 20;
 
-	/** However late this process is, whoever waits for the call must hear of it. */
-	private static final int LONGEST_LIMITS = 2;
+	/**
+	 * Bounds the wait however delayed this process is, so that the waiting caller always
+	 * gets a result.
+	 */
+	private static final int MAX_WAIT_FACTOR = 2;
 
 	private final long limitMs;
 
-	private final long lookMs;
+	private final long pollMs;
 
 	private final Ticker ticker;
 
 	/**
-	 * A limit that begins with the wait.
-	 * @param limitMs how long the other side has, in milliseconds
+	 * Creates a timeout that starts when the wait starts.
+	 * @param limitMs how long the other side may take, in milliseconds
 	 * @param ticker the clock
 	 */
 	StallAwareTimeout(long limitMs, Ticker ticker) {
 		this.limitMs = limitMs;
-		this.lookMs = Math.max(SHORTEST_LOOK_MS, limitMs / LOOKS);
+		this.pollMs = Math.max(MIN_POLL_MS, limitMs / POLLS_PER_TIMEOUT);
 		this.ticker = ticker;
 	}
 
 	/**
-	 * How long a wait may take in all, the lateness of this process included.
-	 * @param limitMs the limit
+	 * Returns how long a wait may take in total, including delays of this process.
+	 * @param limitMs the timeout, in milliseconds
 	 * @return milliseconds
 	 */
 	static long maxWaitMs(long limitMs) {
-		return limitMs * LONGEST_LIMITS;
+		return limitMs * MAX_WAIT_FACTOR;
 	}
 
 	/**
-	 * Waits.
-	 * @param answer what is waited for
-	 * @return whether it came
+	 * Waits for an answer.
+	 * @param answer the answer to wait for
+	 * @return whether it arrived
 	 * @throws InterruptedException where the thread is interrupted
 	 * @throws ExecutionException where the call failed
 	 */
@@ -70,30 +74,30 @@
 		long countedMs = 0;
 		boolean punctual = true;
 		while (countedMs < this.limitMs && nowMs < endMs) {
-			long askedAtMs = nowMs;
-			long waitMs = Math.min(this.lookMs, Math.min(this.limitMs - countedMs, endMs - nowMs));
+			long startMs = nowMs;
+			long waitMs = Math.min(this.pollMs, Math.min(this.limitMs - countedMs, endMs - nowMs));
 			if (answer.within(waitMs)) {
 				return true;
 			}
 			nowMs = this.ticker.nowMs();
-			long tookMs = nowMs - askedAtMs;
-			punctual = tookMs - waitMs <= this.lookMs / 2;
+			long tookMs = nowMs - startMs;
+			punctual = tookMs - waitMs <= this.pollMs / 2;
 			countedMs += punctual ? tookMs : 0;
 		}
-		// What came during a late last look has not been read yet.
-		return !punctual && answer.within(this.lookMs);
+		// An answer that arrived during a delayed last poll has not been read yet.
+		return !punctual && answer.within(this.pollMs);
 	}
 
 	/**
-	 * An answer that may come.
+	 * An answer that may arrive.
 	 */
 	@FunctionalInterface
 	interface Answer {
 
 		/**
-		 * Waits for it.
-		 * @param durationMs for how long, in milliseconds
-		 * @return whether it is there
+		 * Waits for the answer.
+		 * @param durationMs how long to wait, in milliseconds
+		 * @return whether it arrived
 		 * @throws InterruptedException where the thread is interrupted
 		 * @throws ExecutionException where the call failed
 		 */
--- a/whinjunction-core/src/test/java/io/whinjunction/http/HttpCallerTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/http/HttpCallerTests.java
@@ -46,9 +46,9 @@
 		this.caller.close();
 	}
 
-	// The upstream reads the call, acts on it and dies before the answer. The library by
-	// itself would send the call again up to five times, and a client would be billed
-	// for each.
+	// Guards against repeated actions: the upstream reads the call, acts on it and
+	// crashes before it responds. By default the library would resend the call up to five
+	// times, and a client would be billed for each.
 	@Test
 	void aCallWhoseConnectionBreaksIsNotWrittenAgain() {
 		serve((socket) -> {
@@ -58,11 +58,12 @@
 		assertThat(this.requests).hasValue(1);
 	}
 
-	// An action runs twice: a call's time was over on a starved machine before it had
-	// connected, it was told as not sent and made again elsewhere, and the library wrote
-	// it after all. What was told as not sent may not be written any more.
+	// Guards against an action that runs twice: on a machine short of CPU a call timed
+	// out before it had connected, was reported as not sent and made again to another
+	// upstream, and the library wrote it after all. A call reported as not sent must no
+	// longer be written.
 	@Test
-	void aCallThatWasToldAsNotSentIsNeverWritten() {
+	void aCallReportedAsNotSentIsNeverWritten() {
 		LibraryCalls.Observer observer = new LibraryCalls.Observer((result) -> {
 		});
 
@@ -72,7 +73,7 @@
 	}
 
 	@Test
-	void aCallThatWasWrittenStaysSo() {
+	void aWrittenCallIsNotReportedAsNotSent() {
 		LibraryCalls.Observer observer = new LibraryCalls.Observer((result) -> {
 		});
 
@@ -81,15 +82,15 @@
 		assertThat(observer.lost("no answer in 200 ms", true)).isInstanceOf(CallResult.Lost.class);
 	}
 
-	// The same with the library itself: nobody has accepted the connection when the call
-	// is given up, and nothing may arrive when somebody does.
+	// The same with the library itself: the connection has not been accepted when the
+	// call is abandoned, and nothing may arrive once it is.
 	@Test
-	void theLibraryDropsACallThatWasGivenUpBeforeItWasWritten() throws Exception {
+	void theLibraryDropsACallAbandonedBeforeItWasWritten() throws Exception {
 		serve((socket) -> sleep(100));
 		try (AsyncHttpClient client = Dsl.asyncHttpClient()) {
 			LibraryCalls.Observer observer = new LibraryCalls.Observer((result) -> {
 			});
-			observer.lost("given up", true);
+			observer.lost("abandoned", true);
 
 			ListenableFuture<Response> future = LibraryCalls
 				.request(client, call(2000, true), 0, Duration.ofMillis(2000))
@@ -102,20 +103,19 @@
 	}
 
 	@Test
-	void aSilentCallIsGivenUpAtItsLimitAndNotWrittenAgain() {
+	void aCallWithoutAnswerTimesOutAndIsNotWrittenAgain() {
 		serve((socket) -> sleep(5000));
-		// Long enough for a starved machine to connect and write first; a call that is
-		// given up before that is another test's.
+		// Long enough for a machine short of CPU to connect and write first; a call
+		// abandoned before that is covered by another test.
 		CallResult result = this.caller.call(call(1500, true));
 		assertThat(result).isInstanceOfSatisfying(CallResult.Lost.class, (lost) -> assertThat(lost.silent()).isTrue());
-		// The call is given up while a busy machine may not have run the upstream's
-		// thread yet.
+		// On a busy machine the call may time out before the upstream's thread has run.
 		awaitFirstRequest();
 		assertThat(this.requests).hasValue(1);
 	}
 
 	@Test
-	void aRedirectIsAnAnswerAndIsNotFollowed() {
+	void aRedirectIsReturnedAndNotFollowed() {
 		serve((socket) -> answer(socket, "HTTP/1.1 307 Go\r\nlocation: /other\r\ncontent-length: 0\r\n\r\n"));
 		assertThat(this.caller.call(call(2000, true))).isInstanceOfSatisfying(CallResult.Response.class,
 				(response) -> assertThat(response.status()).isEqualTo(307));
@@ -123,30 +123,30 @@
 	}
 
 	@Test
-	void aRefusedConnectionIsKnownNotToBeSent() throws IOException {
+	void aCallOnARefusedConnectionIsNotSent() throws IOException {
 		this.server.close();
 		assertThat(this.caller.call(call(2000, true))).isInstanceOf(CallResult.NotSent.class);
 	}
 
-	// A caller's path that is no URL: the exception would have left a claim of an action
-	// behind that nobody can release.
+	// Guards against a path from a caller that is not a valid URL: an exception would
+	// leave behind the claim of an action that nothing can release.
 	@Test
-	void aPathThatIsNoUrlIsKnownNotToBeSent() {
+	void aCallWithAnInvalidPathIsNotSent() {
 		serve((socket) -> answer(socket, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"));
 		Call bad = new Call("GET", "127.0.0.1:" + this.server.getLocalPort(), "/%zz{|\\^", List.of(),
 				new byte[] { 1, 2, 3 }, 1000, true);
 		assertThat(this.caller.call(bad)).isInstanceOfAny(CallResult.NotSent.class, CallResult.Response.class);
 	}
 
-	// A kept connection has silently died while new ones work. A call that may not be
-	// repeated must not be written to it, or its fate would be unknown for no reason.
+	// A pooled connection is dead without notice while new ones work. A call that may not
+	// be repeated must not be written to it, or its outcome would be unknown needlessly.
 	@Test
 	void aCallThatMayNotBeRepeatedTakesANewConnection() {
 		AtomicInteger connections = new AtomicInteger();
 		serve((socket) -> {
 			if (connections.incrementAndGet() == 1) {
 				answer(socket, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
-				// The connection stays open and silent from here on.
+				// From here on the connection stays open but nothing is sent on it.
 				sleep(5000);
 			}
 			answer(socket, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
@@ -156,11 +156,11 @@
 		assertThat(connections).hasValue(2);
 	}
 
-	// Something between the two ends forgets all open connections; new ones work. Every
-	// kept one would cost a whole timeout, one after the other. After the first timeout
-	// the other kept ones must not be tried any more.
+	// A middlebox drops the state of all open connections; new ones work. Each pooled one
+	// would cost a full timeout, one after the other. After the first timeout the other
+	// pooled ones must not be tried.
 	@Test
-	void afterOneSilentCallNoOtherKeptConnectionToThatAddressIsTried() {
+	void afterATimeoutNoOtherPooledConnectionToThatAddressIsTried() {
 		CountDownLatch bothOpen = new CountDownLatch(2);
 		AtomicInteger connections = new AtomicInteger();
 		serve((socket) -> {
--- a/whinjunction-core/src/test/java/io/whinjunction/http/StallAwareTimeoutTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/http/StallAwareTimeoutTests.java
@@ -20,76 +20,78 @@
 
 	private long answerAtMs = Long.MAX_VALUE;
 
-	/** How much later than asked for each wait returns. */
+	/** How much later than requested each wait returns. */
 	private long lateMs;
 
-	// A caller sees its draft move to another engine, or break off when none is left.
-	// The engine answered after 50 ms. This process got no processor for 400 ms: its
-	// thread that reads connections and the one that waits for the limit stood still
-	// together. The limit is over when they run again, and the answer lies unread.
+	// Guards against a draft that fails over to another engine, or breaks off if none is
+	// left, although its engine answered after 50 ms: this process got no CPU for 400 ms,
+	// so the thread that reads connections and the thread that waits stalled together.
+	// When they run again the timeout has expired and the answer is still unread.
 	@Test
-	void anAnswerThatLiesUnreadBecauseThisProcessStoodStillIsTaken() throws Exception {
+	void anAnswerLeftUnreadByAStallIsAccepted() throws Exception {
 		this.answerAtMs = 50;
 		this.stalledAtMs = 10;
 		this.stallMs = 400;
 		assertThat(await()).isTrue();
 	}
 
-	// The same, where the process stands still just before the limit is over.
+	// The same with a stall just before the timeout expires.
 	@Test
-	void aStallAtTheEndOfTheLimitIsNotHeldAgainstTheOtherSide() throws Exception {
+	void aStallAtTheEndOfTheTimeoutDoesNotCount() throws Exception {
 		this.answerAtMs = 240;
 		this.stalledAtMs = 238;
 		this.stallMs = 60;
 		assertThat(await()).isTrue();
 	}
 
-	// A standstill that outlasts every limit says as little about the other side as a
-	// short one: what lies there has to be read once before it is judged.
+	// A stall longer than any timeout proves as little about the other side as a short
+	// one: the connection has to be read once before the call is failed.
 	@Test
-	void anAnswerIsTakenHoweverLongThisProcessStoodStill() throws Exception {
+	void anAnswerIsAcceptedAfterAStallOfAnyLength() throws Exception {
 		this.answerAtMs = 50;
 		this.stalledAtMs = 10;
 		this.stallMs = 5000;
 		assertThat(await()).isTrue();
 	}
 
-	// A frozen engine must be noticed as soon as ever where this process was in time.
+	// A hung engine must be detected without delay if this process was not delayed.
 	@Test
-	void silenceIsNoticedAtTheLimit() throws Exception {
+	void aMissingAnswerIsDetectedAtTheTimeout() throws Exception {
 		assertThat(await()).isFalse();
 		assertThat(this.nowMs).isEqualTo(LIMIT_MS);
 	}
 
 	@Test
-	void silenceIsNoticedSoonAfterTheLimitWhereTimersAreALittleLate() throws Exception {
+	void aMissingAnswerIsDetectedSoonAfterTheTimeoutIfTimersAreSlightlyLate() throws Exception {
 		this.lateMs = 2;
 		assertThat(await()).isFalse();
 		assertThat(this.nowMs).isLessThan(LIMIT_MS + LIMIT_MS / 10);
 	}
 
 	@Test
-	void anAnswerInTimeIsTakenAtOnce() throws Exception {
+	void anAnswerInTimeIsAcceptedImmediately() throws Exception {
 		this.answerAtMs = 30;
 		assertThat(await()).isTrue();
 		assertThat(this.nowMs).isEqualTo(30);
 	}
 
-	// Twenty threads wait for each processor: the step was written late and each look at
-	// its answer is late again. An engine that needs its usual time is not silent.
+	// Twenty threads wait for each processor: the step was written late and each poll for
+	// its answer is delayed again. An engine that takes its usual time must not be
+	// reported as unresponsive.
 	@Test
-	void aProcessThatIsLateAllTheTimeGivesTheOtherSideMoreTime() throws Exception {
+	void aConstantlyDelayedProcessAllowsTheOtherSideMoreTime() throws Exception {
 		this.lateMs = 30;
 		this.answerAtMs = 400;
 		assertThat(await()).isTrue();
 	}
 
-	// A process that is late all the time must still come to an end.
+	// The wait of a constantly delayed process must still be bounded.
 	@Test
-	void aWaitEndsHoweverLateThisProcessIs() throws Exception {
+	void aWaitIsBoundedHoweverDelayedThisProcessIs() throws Exception {
 		this.lateMs = 90;
 		assertThat(await()).isFalse();
-		assertThat(this.nowMs).isLessThanOrEqualTo(StallAwareTimeout.maxWaitMs(LIMIT_MS) + 2 * (this.lateMs + LIMIT_MS / 10));
+		assertThat(this.nowMs)
+			.isLessThanOrEqualTo(StallAwareTimeout.maxWaitMs(LIMIT_MS) + 2 * (this.lateMs + LIMIT_MS / 10));
 	}
 
 	private boolean await() throws Exception {
@@ -100,7 +102,8 @@
 		assertThat(durationMs).isPositive();
 		long endMs = this.nowMs + durationMs;
 		if (this.stalledAtMs < endMs && this.stalledAtMs >= this.nowMs) {
-			// What came meanwhile is read after the thread that waits has looked.
+			// An answer that arrived meanwhile is read after the waiting thread has
+			// polled.
 			this.nowMs = Math.max(endMs, this.stalledAtMs + this.stallMs);
 			this.stalledAtMs = Long.MAX_VALUE;
 			return false;
