--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/BodyAggregator.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/BodyAggregator.java
@@ -12,11 +12,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Gathers a body up to a limit; a larger one is refused as JSON and the connection ends,
- * since the rest of the body cannot be told from a next request. A caller that asks
- * whether it may send its body is told to go on only where no answer is under way, into
- * which that would be written; otherwise it sends the body after a while unasked. One per
- * connection.
+ * Aggregates a request body up to a maximum size. A larger body is refused with a JSON
+ * response and the connection is closed, because the rest of the body cannot be
+ * distinguished from a next request. A caller that sends {@code Expect: 100-continue}
+ * receives the interim response only if no other response is in progress, since it would
+ * be written into that one; otherwise the caller sends the body anyway after a while. One
+ * per connection.
  */
 final class BodyAggregator extends HttpObjectAggregator {
 
@@ -32,8 +33,8 @@
 		this.guard = guard;
 	}
 
-	// The aggregator of the library would also refuse here, past the order of answers.
-	// With no response it gathers the body, or finds it too large below.
+	// Netty's aggregator would also refuse here, out of the order of responses. Without a
+	// response it aggregates the body, or finds it too large in handleOversizedMessage.
 	@Override
 	protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
 		boolean expected = HttpUtil.is100ContinueExpected(start);
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
@@ -21,17 +21,17 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * An exchange on one connection or HTTP/2 stream.
+ * An exchange on one HTTP/1.1 connection or HTTP/2 stream.
  * <p>
- * Invariant: exactly one end (reply, end or abort) reaches the channel; a handler that
- * forgets it, or fails, is ended by the server. The handler's thread writes; the event
- * loop only signals.
+ * Invariant: exactly one of reply, end and abort reaches the channel; if the handler
+ * fails or calls none of them, the server completes the exchange. The handler's thread
+ * writes; the event loop only signals.
  */
 final class ChannelExchange implements Exchange {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** A reader slower than this is taken for gone. */
+	/** A caller that reads more slowly than this counts as disconnected. */
 	private static final long MAX_WRITE_WAIT_MS = 30_000;
 
 	private static final String FAILED = "{\"error\":{\"code\":\"internal\",\"message\":\"The request failed inside the router.\"}}";
@@ -58,7 +58,7 @@
 
 	private ChannelFuture sent;
 
-	/** Read by the event loop after {@link #finished}. */
+	/** Read by the event loop after {@link #finished} has run. */
 	private volatile boolean closing;
 
 	ChannelExchange(Channel channel, Request request, boolean keepAlive, boolean http2, OpenConnections connections,
@@ -79,20 +79,21 @@
 	@Override
 	public void reply(Reply reply) {
 		if (this.ended || this.begun) {
-			throw new IllegalStateException("already answered");
+			throw new IllegalStateException("the request has already been answered");
 		}
 		this.ended = true;
-		// An answer to HEAD has no body; one sent all the same would be read as the next.
-		Reply whole = this.request.method().equals("HEAD") ? new Reply(reply.status(), reply.headers(), new byte[0])
+		// A response to HEAD has no body; one sent nevertheless would be read as the next
+		// response.
+		Reply sendable = this.request.method().equals("HEAD") ? new Reply(reply.status(), reply.headers(), new byte[0])
 				: reply;
-		tellToLeave();
-		finish(this.channel.writeAndFlush(Responses.full(whole, this.closing)));
+		announceDraining();
+		finish(this.channel.writeAndFlush(Responses.full(sendable, this.closing)));
 	}
 
 	@Override
 	public void begin(int status, List<Map.Entry<String, String>> headers) {
 		this.begun = true;
-		tellToLeave();
+		announceDraining();
 		HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
 		Responses.add(response.headers(), headers);
 		if (!this.http2) {
@@ -123,7 +124,8 @@
 		this.ended = true;
 		this.gone = true;
 		this.closing = true;
-		// Queued behind what was written, so that the reader gets all of it first.
+		// Queued behind the data already written, so that the caller receives all of it
+		// first.
 		finish(this.channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
 	}
 
@@ -140,8 +142,8 @@
 	}
 
 	/**
-	 * Whether the connection, or the HTTP/2 stream, ends with this answer.
-	 * @return whether nothing may follow
+	 * Returns whether the connection, or the HTTP/2 stream, closes after this response.
+	 * @return whether no response may follow
 	 */
 	boolean closing() {
 		return this.closing;
@@ -163,7 +165,7 @@
 	}
 
 	void fail(Exception cause) {
-		logger.atSevere().withCause(cause).log("handler failed for %s", this.request.path());
+		logger.atSevere().withCause(cause).log("request handler failed: path=%s", this.request.path());
 		if (this.ended) {
 			return;
 		}
@@ -177,12 +179,13 @@
 
 	void ensureFinished() {
 		if (!this.ended) {
-			fail(new IllegalStateException("the handler left the request unanswered"));
+			fail(new IllegalStateException("the request handler returned without answering the request"));
 		}
 	}
 
-	// A stream that has begun can't be told any more; the next answer tells its caller.
-	private void tellToLeave() {
+	// The head of a streamed response already sent cannot be changed; the caller learns
+	// of the draining from the next response.
+	private void announceDraining() {
 		if (this.http2) {
 			this.connections.sendGoAway(this.channel);
 		}
@@ -205,11 +208,11 @@
 		}
 		this.lock.lock();
 		try {
-			long leftNs = TimeUnit.MILLISECONDS.toNanos(MAX_WRITE_WAIT_MS);
-			while (!this.channel.isWritable() && !this.gone && leftNs > 0) {
-				leftNs = this.writable.awaitNanos(leftNs);
+			long remainingNs = TimeUnit.MILLISECONDS.toNanos(MAX_WRITE_WAIT_MS);
+			while (!this.channel.isWritable() && !this.gone && remainingNs > 0) {
+				remainingNs = this.writable.awaitNanos(remainingNs);
 			}
-			if (leftNs <= 0) {
+			if (remainingNs <= 0) {
 				this.gone = true;
 			}
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ClosingReply.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ClosingReply.java
@@ -1,11 +1,11 @@
 package io.whinjunction.http.server;
 
 /**
- * An answer that ends its connection, or its HTTP/2 stream: a refusal by a part of the
- * server that does not know what is being answered. As an event it passes on to
- * {@link ExchangeHandler}, which gives it in its turn.
+ * A response that closes its connection or HTTP/2 stream: a refusal by a handler of the
+ * pipeline that does not know which requests are in progress. It is fired as an event to
+ * {@link ExchangeHandler}, which sends it after the responses before it.
  *
- * @param reply the answer
+ * @param reply the response
  */
 record ClosingReply(Reply reply) {
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ConnectionInitializer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ConnectionInitializer.java
@@ -15,8 +15,8 @@
 import io.netty.handler.ssl.ApplicationProtocolNegotiationHandler;
 
 /**
- * Builds the handlers of a new connection. Stateless but for its settings, shared by all
- * connections.
+ * Builds the channel pipeline of a new connection. Stateless except for its settings;
+ * shared by all connections.
  */
 final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Exchange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Exchange.java
@@ -4,55 +4,56 @@
 import java.util.Map;
 
 /**
- * One request and the way to answer it. Methods may be called from one thread at a time,
- * {@link #gone()} from any.
+ * One request and the means to respond to it. Confined to one thread at a time, except
+ * {@link #gone()}, which is thread-safe.
  */
 public interface Exchange {
 
 	/**
-	 * The request.
+	 * Returns the request.
 	 * @return the request
 	 */
 	Request request();
 
 	/**
-	 * Answers whole.
-	 * @param reply the answer
+	 * Sends a complete response.
+	 * @param reply the response
 	 */
 	void reply(Reply reply);
 
 	/**
-	 * Begins a streamed answer.
+	 * Starts a streamed response.
 	 * @param status the status
 	 * @param headers the headers
 	 */
 	void begin(int status, List<Map.Entry<String, String>> headers);
 
 	/**
-	 * Sends a piece of a streamed answer; waits while the reader is slow.
+	 * Sends a chunk of a streamed response; blocks while the caller reads slowly.
 	 * @param piece the bytes
 	 */
 	void write(byte[] piece);
 
 	/**
-	 * Ends a streamed answer properly.
+	 * Completes a streamed response.
 	 * @param trailers trailing headers
 	 */
 	void end(List<Map.Entry<String, String>> trailers);
 
 	/**
-	 * Breaks a streamed answer off, so that the reader sees that it is incomplete.
+	 * Aborts a streamed response, so that the caller detects that it is incomplete.
 	 */
 	void abort();
 
 	/**
-	 * Waits until the ended answer has left the process, or its reader counts as gone.
+	 * Waits until the completed response has been written to the network, or its caller
+	 * counts as disconnected.
 	 */
 	void awaitSent();
 
 	/**
-	 * Whether the caller has gone.
-	 * @return {@code true} once nobody reads any more
+	 * Returns whether the caller has disconnected.
+	 * @return {@code true} once the response is no longer read
 	 */
 	boolean gone();
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -15,11 +15,13 @@
 import io.netty.handler.codec.http2.Http2Error;
 
 /**
- * Hands whole requests to the handler, one at a time per connection, on virtual threads.
+ * Passes complete requests to the handler on virtual threads, one at a time per
+ * connection.
  * <p>
- * Invariant: answers leave in the order of their requests, since a pipelined request
- * waits until the one before it is answered; after an answer that ends the connection
- * nothing is begun. One per connection or HTTP/2 stream, on its event loop.
+ * Invariant: responses are sent in the order of their requests, because a pipelined
+ * request waits until the previous one has been answered; after a response that closes
+ * the connection no further request is started. One per connection or HTTP/2 stream;
+ * confined to its event loop.
  */
 final class ExchangeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
@@ -30,8 +32,9 @@
 	private static final String STOPPING = "{\"error\":{\"code\":\"stopping\",\"message\":\"This server stops; the request had not arrived whole.\"}}";
 
 	/**
-	 * How long a connection outlives its last answer while its caller still sends, in
-	 * milliseconds: some round trips, in which a caller reads the answer and closes.
+	 * How long a connection stays open after its closing response while the caller still
+	 * sends, in milliseconds. It covers the few round trips in which a caller reads the
+	 * response and closes.
 	 */
 	static final long LINGER_MS = 1000;
 
@@ -136,7 +139,8 @@
 
 	private void next(ChannelHandlerContext context) {
 		if (this.current.closing()) {
-			// Whatever came behind must not run: its answer could not be given any more.
+			// Requests received after this one must not run: their responses could no
+			// longer be sent.
 			this.ending = true;
 			this.waiting.clear();
 			return;
@@ -154,7 +158,8 @@
 		}
 	}
 
-	// Written into a running answer it would spoil that one, and be read as its end.
+	// A closing reply written into a response in progress would corrupt it and be read as
+	// its end.
 	private void end(ChannelHandlerContext context, ClosingReply answer) {
 		if (this.ending) {
 			return;
@@ -178,20 +183,20 @@
 			return;
 		}
 		if (this.http2) {
-			// Closed alone, the stream would be reset as cancelled, which callers
-			// may take for a failure of the answer.
+			// Closing the channel alone would reset the stream as cancelled, which
+			// callers may take for a failed response.
 			written.addListener((sent) -> context.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.NO_ERROR))
 				.addListener(ChannelFutureListener.CLOSE));
 			return;
 		}
-		// The rest of the request is read and dropped. It would reset a connection that
-		// is closed at once, and the caller would see that in place of the answer.
+		// The rest of the request is read and dropped. Closing at once would make it
+		// cause a reset, which the caller would see instead of the response.
 		this.connections.addLingering(context.channel());
 		context.executor().schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * The event that refuses a request of which only a part has arrived.
+	 * The event that refuses a request that has been received only in part.
 	 */
 	record RefuseIncomplete() {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Handler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Handler.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 
 /**
- * What a server does with requests. Called on virtual threads, many at once.
+ * Handles the requests of a server. Called concurrently, on virtual threads.
  */
 @FunctionalInterface
 public interface Handler {
 
 	/**
-	 * Answers a request, by exactly one of {@link Exchange#reply}, {@link Exchange#end}
-	 * or {@link Exchange#abort}.
-	 * @param exchange the request
-	 * @throws Exception answered as status 500
+	 * Answers a request by calling exactly one of {@link Exchange#reply},
+	 * {@link Exchange#end} or {@link Exchange#abort}.
+	 * @param exchange the request and its response
+	 * @throws Exception if the request fails; answered with status 500
 	 */
 	void handle(Exchange exchange) throws Exception;
 
 	/**
-	 * Looks at a request's head before its body is read. Runs on the network thread and
-	 * must not block.
+	 * Checks a request's head before its body is read. Runs on the event loop and must
+	 * not block.
 	 * @param head the request without its body
-	 * @return a refusal, or empty to read on
+	 * @return a refusal, or empty to continue reading
 	 */
 	default Optional<Reply> refuseEarly(Request head) {
 		return Optional.empty();
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HeadGuard.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/HeadGuard.java
@@ -12,11 +12,11 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Refuses a request by its head, before its body is read.
+ * Refuses requests by their head, before the body is read.
  * <p>
- * The failures it is there for: a body that must not come to this place at all, and
- * request smuggling ({@link RequestHeadValidator}). One per connection or HTTP/2 stream, on its
- * event loop.
+ * Guards against bodies that must not reach this place at all, and against request
+ * smuggling ({@link RequestHeadValidator}). One per connection or HTTP/2 stream; confined
+ * to its event loop.
  */
 final class HeadGuard extends ChannelInboundHandlerAdapter {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServer.java
@@ -12,10 +12,10 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 
 /**
- * Listens on one port for HTTP/1.1 and HTTP/2 (by prior knowledge, and by ALPN with TLS).
+ * Serves HTTP/1.1 and HTTP/2 (with prior knowledge, or by ALPN with TLS) on one port.
  * <p>
- * Invariant: {@link #stopAccepting()} closes the listening port only; what is in progress
- * ends by itself. Safe for all threads.
+ * Invariant: {@link #stopAccepting()} closes only the listening port; requests in
+ * progress complete on their own. Thread-safe.
  */
 public final class HttpServer implements AutoCloseable {
 
@@ -36,11 +36,11 @@
 	}
 
 	/**
-	 * Starts listening.
-	 * @param settings port and limits
-	 * @param handler what to do with requests
+	 * Starts a server.
+	 * @param settings the port and limits
+	 * @param handler handles the requests
 	 * @return the running server
-	 * @throws IllegalStateException where the port cannot be bound
+	 * @throws IllegalStateException if the port cannot be bound
 	 */
 	public static HttpServer start(HttpServerSettings settings, Handler handler) {
 		EventLoopGroup group = new MultiThreadIoEventLoopGroup(WORKERS, NioIoHandler.newFactory());
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * The bound port.
+	 * Returns the bound port.
 	 * @return the port
 	 */
 	public int port() {
@@ -71,27 +71,27 @@
 	}
 
 	/**
-	 * Closes the listening port and lets open connections be.
+	 * Closes the listening port; open connections are not affected.
 	 */
 	public void stopAccepting() {
 		this.listener.close().awaitUninterruptibly();
 	}
 
 	/**
-	 * From now on each answer tells its caller to leave the connection. Requests on new
-	 * and open ones are taken as before.
+	 * Starts draining: from now on each response asks its caller to close the connection.
+	 * Requests on new and open connections are accepted as before.
 	 */
 	public void drainConnections() {
 		this.connections.startDraining();
 	}
 
 	/**
-	 * Refuses the requests of which a part has arrived: their callers hear that they did
-	 * not run. Returns when the refusals are written.
+	 * Refuses requests that have been received only in part; the response states that
+	 * they did not run. Returns when the refusals have been written.
 	 */
 	public void refuseIncomplete() {
 		this.connections.signal(new ExchangeHandler.RefuseIncomplete());
-		// The events are handled in order: an empty task is done after them.
+		// Event loops run tasks in order, so an empty task completes after the events.
 		this.group.forEach((loop) -> loop.submit(() -> {
 		}).awaitUninterruptibly());
 	}
@@ -99,8 +99,8 @@
 	@Override
 	public void close() {
 		stopAccepting();
-		// Closed at once, a connection whose caller still sends is reset, and the caller
-		// sees that in place of its refusal.
+		// If a connection is closed while its caller still sends, it is reset, and the
+		// caller sees the reset instead of its refusal.
 		this.connections.awaitLingering(ExchangeHandler.LINGER_MS);
 		this.group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServerSettings.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/HttpServerSettings.java
@@ -9,10 +9,13 @@
  *
  * @param host the address to bind
  * @param port the port; 0 for any
- * @param maxBodyBytes larger bodies are refused with 413
- * @param maxHeaderBytes larger headers are refused with 400
- * @param requestTimeoutMs within how long a request must have arrived
- * @param tls the current TLS context, asked for each connection, or {@code null} for none
+ * @param maxBodyBytes the maximum body size; larger bodies are refused with status 413
+ * @param maxHeaderBytes the maximum header size; larger headers are refused with status
+ * 400
+ * @param requestTimeoutMs the time within which a request must be received, in
+ * milliseconds
+ * @param tls supplies the current TLS context for each new connection, or {@code null}
+ * for no TLS
  */
 public record HttpServerSettings(String host, int port, int maxBodyBytes, int maxHeaderBytes, int requestTimeoutMs,
 		Supplier<SslContext> tls) {
@@ -24,7 +27,7 @@
 	private static final int DEFAULT_REQUEST_TIMEOUT_MS = 10_000;
 
 	/**
-	 * Default limits without TLS.
+	 * Returns settings with the default limits and without TLS.
 	 * @param host the address to bind
 	 * @param port the port; 0 for any
 	 * @return the settings
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/OpenConnections.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/OpenConnections.java
@@ -8,19 +8,21 @@
 import io.netty.util.concurrent.GlobalEventExecutor;
 
 /**
- * The open HTTP/1.1 connections and HTTP/2 streams of one server, and whether callers are
- * to leave them.
+ * The open HTTP/1.1 connections and HTTP/2 streams of one server, and whether they are
+ * draining.
  * <p>
- * The failure it is there for: a caller that keeps its connection goes on sending to a
- * server that stops, whatever the balancer does, and its last request meets a connection
- * that closes without a word. Told with each answer, callers have left before that. Safe
- * for all threads.
+ * Guards against lost requests when a server stops: a caller with a persistent connection
+ * keeps sending to it whatever the balancer does, and its last request meets a connection
+ * that closes without a response. Because each response asks callers to close, they have
+ * moved to other servers before that. Thread-safe.
  */
 final class OpenConnections {
 
 	private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
-	/** Whose caller still sends, and must have time to read its last answer. */
+	/**
+	 * Connections whose caller still sends and needs time to read the closing response.
+	 */
 	private final ChannelGroup lingering = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
 	private volatile boolean draining;
@@ -34,8 +36,8 @@
 	}
 
 	/**
-	 * Waits until the connections that only linger are closed.
-	 * @param limitMs how long at most
+	 * Waits until all lingering connections are closed.
+	 * @param limitMs the maximum wait, in milliseconds
 	 */
 	void awaitLingering(long limitMs) {
 		this.lingering.newCloseFuture().awaitUninterruptibly(limitMs);
@@ -54,9 +56,10 @@
 	}
 
 	/**
-	 * Asks the caller of an HTTP/2 connection for no more streams, where connections are
-	 * to end. Streams on their way are still taken: a lower last stream would drop them.
-	 * @param stream one of the connection's streams
+	 * Sends a GOAWAY frame on an HTTP/2 connection if connections are draining, so that
+	 * its caller opens no more streams. Streams already in transit are still accepted; a
+	 * lower last stream identifier would drop them.
+	 * @param stream a stream of the connection
 	 */
 	void sendGoAway(Channel stream) {
 		if (this.draining) {
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ProtocolDetector.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ProtocolDetector.java
@@ -7,11 +7,15 @@
 import io.netty.handler.codec.ByteToMessageDecoder;
 
 /**
- * Tells HTTP/2 with prior knowledge from HTTP/1.1 by its first bytes. One per connection.
+ * Detects HTTP/2 with prior knowledge or HTTP/1.1 from the first bytes of a connection.
+ * One per connection.
  */
 final class ProtocolDetector extends ByteToMessageDecoder {
 
-	/** The HTTP/2 preface begins with a method that HTTP/1.1 does not have. */
+	/**
+	 * The connection preface of HTTP/2 starts with a method that does not exist in
+	 * HTTP/1.1.
+	 */
 	private static final byte[] PREFACE = { 'P', 'R', 'I', ' ' };
 
 	private final ConnectionInitializer initializer;
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Reply.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Reply.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * A whole response. Immutable.
+ * A complete response. Immutable.
  *
  * @param status the status
  * @param headers the headers in order
@@ -15,7 +15,7 @@
 public record Reply(int status, List<Map.Entry<String, String>> headers, byte[] body) {
 
 	/**
-	 * A JSON response.
+	 * Creates a JSON response.
 	 * @param status the status
 	 * @param json the body
 	 * @return the reply
@@ -26,7 +26,7 @@
 	}
 
 	/**
-	 * A plain text response.
+	 * Creates a plain text response.
 	 * @param status the status
 	 * @param text the body
 	 * @return the reply
@@ -37,15 +37,15 @@
 	}
 
 	/**
-	 * The same reply with one more header.
-	 * @param name the header
-	 * @param value its value
+	 * Returns a copy of this reply with one more header.
+	 * @param name the header name
+	 * @param value the header value
 	 * @return a new reply
 	 */
 	public Reply with(String name, String value) {
-		List<Map.Entry<String, String>> more = new ArrayList<>(this.headers);
-		more.add(Map.entry(name, value));
-		return new Reply(this.status, List.copyOf(more), this.body);
+		List<Map.Entry<String, String>> extended = new ArrayList<>(this.headers);
+		extended.add(Map.entry(name, value));
+		return new Reply(this.status, List.copyOf(extended), this.body);
 	}
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Request.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Request.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * One request as a caller sent it. Immutable; the body is never copied or logged.
+ * A request as sent by the caller. Immutable; the body is never copied or logged.
  *
  * @param method the method
  * @param path the path, still percent-encoded, without the query
@@ -17,9 +17,9 @@
 public record Request(String method, String path, String query, List<Map.Entry<String, String>> headers, byte[] body) {
 
 	/**
-	 * A header's first value.
-	 * @param name the name in lower case
-	 * @return the value
+	 * Returns the first value of a header.
+	 * @param name the header name in lower case
+	 * @return the value, or empty if the header is absent
 	 */
 	public Optional<String> header(String name) {
 		for (Map.Entry<String, String> header : this.headers) {
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * A parameter of the query, not decoded.
-	 * @param name its name
-	 * @return its value
+	 * Returns a query parameter without decoding it.
+	 * @param name the parameter name
+	 * @return the value, or empty if the parameter is absent
 	 */
 	public Optional<String> parameter(String name) {
 		for (String pair : this.query.split("&")) {
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	 * The body as text.
-	 * @return the text, malformed bytes replaced
+	 * Returns the body decoded as UTF-8.
+	 * @return the text, with malformed bytes replaced
 	 */
 	public String text() {
 		return new String(this.body, StandardCharsets.UTF_8);
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/RequestHeadValidator.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/RequestHeadValidator.java
@@ -8,12 +8,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * What makes a request's head unfit to be passed on.
+ * Checks whether a request's head may be forwarded.
  * <p>
- * The failure it is there for is request smuggling, where two readers disagree on where a
- * body ends and one caller's request swallows another's. A head with both lengths, a bad
- * length or an unreadable line is refused and its connection ends, so that no later byte
- * can be misread. Stateless.
+ * Guards against request smuggling, where two recipients disagree on where a body ends
+ * and one caller's request becomes part of another's. A head with both content-length and
+ * transfer-encoding, an invalid length or an unparsable line is refused and its
+ * connection is closed, so that no later byte can be misinterpreted. Stateless.
  */
 public final class RequestHeadValidator {
 
@@ -21,9 +21,9 @@
 	}
 
 	/**
-	 * Judges a head.
+	 * Validates a head.
 	 * @param head the head as decoded by {@link StrictRequestDecoder}
-	 * @return what is wrong, as a sentence, or empty
+	 * @return a sentence that describes the problem, or empty if the head is valid
 	 */
 	public static Optional<String> problem(HttpRequest head) {
 		if (head.decoderResult().isFailure()) {
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Responses.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Responses.java
@@ -13,7 +13,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Turns replies into the library's messages. Stateless.
+ * Converts replies to Netty messages. Stateless.
  */
 final class Responses {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/SlowRequestGuard.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/SlowRequestGuard.java
@@ -7,12 +7,12 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Ends a connection whose request does not arrive in time.
+ * Closes a connection whose request is not received in time.
  * <p>
- * The failure it is there for: callers that send a byte now and then hold connections and
- * buffers until none are left for others. A limit from the first byte to the last is
- * enough, since a sender cannot extend it. One per connection or HTTP/2 stream, on its
- * event loop.
+ * Guards against callers that send a byte now and then and so hold connections and
+ * buffers until none are left for others. One timeout from the first byte to the last is
+ * sufficient, because the sender cannot extend it. One per connection or HTTP/2 stream;
+ * confined to its event loop.
  */
 final class SlowRequestGuard extends ChannelInboundHandlerAdapter {
 
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * The request is whole.
+	 * Records that the request has been received completely.
 	 */
 	void requestComplete() {
 		this.busy = true;
@@ -54,30 +54,30 @@
 	}
 
 	/**
-	 * Whether a request has begun to arrive and is not whole.
-	 * @return {@code false} between requests and while one is answered
+	 * Returns whether a request has been received only in part.
+	 * @return {@code false} between requests and while one is being answered
 	 */
 	boolean receiving() {
 		return this.timer != null;
 	}
 
 	/**
-	 * Whether a request that is whole has not been answered.
-	 * @return {@code false} while the next answer would be that of the next request
+	 * Returns whether a complete request has not been answered yet.
+	 * @return {@code false} if the next response would be that of the next request
 	 */
 	boolean busy() {
 		return this.busy;
 	}
 
 	/**
-	 * The next request may come.
+	 * Records that the request has been answered and the next one may be received.
 	 */
 	void idle() {
 		this.busy = false;
 	}
 
 	/**
-	 * The event that ends the request.
+	 * The event that a request was not received in time.
 	 */
 	record RequestTimedOut() {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/StrictRequestDecoder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/StrictRequestDecoder.java
@@ -5,15 +5,15 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Reads requests and hides nothing of their lengths. The library's own decoder drops a
- * content-length that stands beside a transfer-encoding, so that {@link RequestHeadValidator} could
- * not see the conflict and would let through what another reader on the way may have
- * ended elsewhere. One per connection.
+ * Decodes requests and keeps conflicting length headers. Netty's decoder drops a
+ * content-length that accompanies a transfer-encoding, so that
+ * {@link RequestHeadValidator} would not see the conflict and would accept a request
+ * whose body another intermediary may have ended elsewhere. One per connection.
  */
 public final class StrictRequestDecoder extends HttpRequestDecoder {
 
 	/**
-	 * A decoder.
+	 * Creates a decoder.
 	 * @param config its limits
 	 */
 	public StrictRequestDecoder(HttpDecoderConfig config) {
@@ -22,7 +22,7 @@
 
 	@Override
 	protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-		// Both headers stay for the guard to refuse.
+		// Keeps both headers, so that HeadGuard can refuse the request.
 	}
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The HTTP server: whole requests on virtual threads.
+ * The HTTP server: passes complete requests to handlers on virtual threads.
  */
 package io.whinjunction.http.server;
