--- a/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/AttemptHistory.java
@@ -3,8 +3,8 @@
 import java.util.HashSet;
 import java.util.Set;
 
-import io.whinjunction.forward.AttemptEnd;
-import io.whinjunction.forward.NextStep;
+import io.whinjunction.forward.AttemptOutcome;
+import io.whinjunction.forward.RetryDecision;
 import io.whinjunction.forward.RetryPolicy;
 
 /**
@@ -51,8 +51,8 @@
 	 * Records the end of an attempt.
 	 * @param end how it ended
 	 */
-	void recordEnd(AttemptEnd end) {
-		this.mayHaveRun |= end instanceof AttemptEnd.Unknown || end instanceof AttemptEnd.Failed;
+	void recordEnd(AttemptOutcome end) {
+		this.mayHaveRun |= end instanceof AttemptOutcome.Unknown || end instanceof AttemptOutcome.Failed;
 	}
 
 	/**
@@ -88,8 +88,8 @@
 	 * @param underWay whether an upstream has the request now
 	 * @return a refusal only if the request cannot have run
 	 */
-	NextStep finalStep(boolean underWay) {
-		return (this.mayHaveRun || underWay) ? new NextStep.Fail() : new NextStep.Refuse();
+	RetryDecision finalStep(boolean underWay) {
+		return (this.mayHaveRun || underWay) ? new RetryDecision.Fail() : new RetryDecision.Refuse();
 	}
 
 	/**
--- a/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/LayerReconciler.java
@@ -15,7 +15,7 @@
 import io.whinjunction.chain.LayerPlanner;
 import io.whinjunction.chain.ModelProfile;
 import io.whinjunction.chain.Placement;
-import io.whinjunction.chain.ReplicaCounts;
+import io.whinjunction.chain.ReplicaCountCache;
 import io.whinjunction.configuration.LayerRange;
 import io.whinjunction.routing.RoutedService;
 import io.whinjunction.routing.RoutingConfiguration;
@@ -75,7 +75,7 @@
 
 	private final Leadership leadership;
 
-	private final ReplicaCounts replicaCounts = new ReplicaCounts();
+	private final ReplicaCountCache replicaCounts = new ReplicaCountCache();
 
 	private final Map<String, PendingOrder> pendingOrders = new HashMap<>();
 
