--- a/whinjunction-controller/src/main/java/io/whinjunction/controller/ControllerSettings.java
+++ b/whinjunction-controller/src/main/java/io/whinjunction/controller/ControllerSettings.java
@@ -47,7 +47,7 @@
 				root.integer("platform-ms", 1000, 10, HOUR_MS), root.integer("lease-ms", 5000, 100, HOUR_MS),
 				root.integer("period-ms", 1000, 10, HOUR_MS), root.integer("loads-at-once", 4, 1, 1000),
 				root.integer("claims-kept-s", DAY_S, 60, 30 * DAY_S));
-		root.end();
+		root.reportUnknownKeys();
 		problems.addAll(found);
 		return settings;
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/ConfigurationReader.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/ConfigurationReader.java
@@ -92,7 +92,7 @@
 		Map<String, Place> places = places(root);
 		Map<String, Service> services = services(root);
 		Map<String, Team> teams = teams(root, places.keySet(), services.keySet());
-		root.end();
+		root.reportUnknownKeys();
 		if (!problems.isEmpty()) {
 			return new Checked.Invalid(List.copyOf(problems));
 		}
@@ -124,7 +124,7 @@
 					section.report("failure-domains", "'" + failureDomain + "' lies in place '" + other + "' already");
 				}
 			}
-			section.end();
+			section.reportUnknownKeys();
 		});
 		return places;
 	}
@@ -139,7 +139,7 @@
 				default -> section.report("kind",
 						"'" + kind + "' is no kind of service" + NearestMatch.hint(kind, List.of("model", "plain")));
 			}
-			section.end();
+			section.reportUnknownKeys();
 		});
 		return services;
 	}
@@ -208,7 +208,7 @@
 			teams.put(name, new Team(name, Set.copyOf(new LinkedHashSet<>(hashes)),
 					Set.copyOf(new LinkedHashSet<>(allowedServices)), Set.copyOf(new LinkedHashSet<>(allowedPlaces)),
 					section.integer("rate-per-s", 100, 1, 1_000_000), section.integer("weight", 1, 1, 1000)));
-			section.end();
+			section.reportUnknownKeys();
 		});
 		return teams;
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Section.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Section.java
@@ -13,7 +13,7 @@
  * One table of a settings file, read with checks.
  * <p>
  * Invariant: every fault is added to one shared list and a usable default is returned, so
- * that a reader meets all faults in one pass; {@link #end()} reports keys that nobody
+ * that a reader meets all faults in one pass; {@link #reportUnknownKeys()} reports keys that nobody
  * asked for. Confined to one thread.
  */
 public final class Section {
@@ -188,7 +188,7 @@
 	/**
 	 * Reports every key that was never asked for, with the nearest one that was.
 	 */
-	public void end() {
+	public void reportUnknownKeys() {
 		if (!this.node.isObject()) {
 			this.problems.add(new Problem(this.file, this.path, "'" + plain(this.node) + "' is not a table"));
 			return;
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/EntrySettings.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/EntrySettings.java
@@ -49,7 +49,7 @@
 				root.integer("operator-port", null, 0, MAX_PORT), root.integer("peer-port", null, 1, MAX_PORT),
 				root.text("platform", null), root.texts("seeds", List.of()), root.text("otlp-endpoint", ""),
 				Limits.read(root), Timing.read(root), Tls.read(root));
-		root.end();
+		root.reportUnknownKeys();
 		return problems.isEmpty() ? new Checked.Valid(settings) : new Checked.Invalid(List.copyOf(problems));
 	}
 
@@ -86,7 +86,7 @@
 					section.integer("header-bytes", 16 << 10, 1024, 1 << 20),
 					section.integer("prompt-chars", 200_000, 1, 16 << 20),
 					section.integer("draft-tokens", 8192, 1, 1 << 20));
-			section.end();
+			section.reportUnknownKeys();
 			return limits;
 		}
 
@@ -120,7 +120,7 @@
 					section.integer("confirmation-ms", 8000, 10, HOUR_MS),
 					section.integer("suspicion-ms", 3000, 10, HOUR_MS), section.integer("notice-ms", 1000, 0, HOUR_MS),
 					section.integer("drain-ms", 120_000, 0, HOUR_MS));
-			section.end();
+			section.reportUnknownKeys();
 			return timing;
 		}
 
@@ -142,7 +142,7 @@
 			}
 			Tls tls = new Tls(Path.of(section.text("certificate", null)), Path.of(section.text("key", null)),
 					Path.of(section.text("authority", null)));
-			section.end();
+			section.reportUnknownKeys();
 			return tls;
 		}
 
