--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
@@ -16,7 +16,7 @@
 import com.github.rvesse.airline.annotations.Option;
 import com.github.rvesse.airline.annotations.restrictions.AllowedRawValues;
 import io.whinjunction.loss.Loss;
-import io.whinjunction.loss.LossAccount;
+import io.whinjunction.loss.LossAnalyzer;
 
 /**
  * Tells from routers' logs which requests were not on time, and why: the morning after,
@@ -40,7 +40,7 @@
 		if (this.files.isEmpty()) {
 			throw new UsageException("a router's log is needed: whin losses FILE...");
 		}
-		LossAccount account = new LossAccount();
+		LossAnalyzer account = new LossAnalyzer();
 		for (String file : this.files) {
 			read(account, file);
 		}
@@ -53,7 +53,7 @@
 		return ExitCode.OK;
 	}
 
-	private static void read(LossAccount account, String file) {
+	private static void read(LossAnalyzer account, String file) {
 		try (Stream<String> lines = Files.lines(Path.of(file))) {
 			lines.forEach(account::read);
 		}
@@ -62,7 +62,7 @@
 		}
 	}
 
-	private static List<Map<String, Object>> requests(LossAccount account) {
+	private static List<Map<String, Object>> requests(LossAnalyzer account) {
 		List<Map<String, Object>> rows = new ArrayList<>();
 		for (Loss loss : account.losses()) {
 			Map<String, Object> row = new LinkedHashMap<>();
@@ -77,7 +77,7 @@
 		return rows;
 	}
 
-	private List<Map<String, Object>> groups(LossAccount account) {
+	private List<Map<String, Object>> groups(LossAnalyzer account) {
 		Map<String, Integer> counts = new TreeMap<>();
 		account.losses().forEach((loss) -> counts.merge(group().apply(loss), 1, Integer::sum));
 		List<Map<String, Object>> rows = new ArrayList<>();
--- a/whinjunction-core/src/main/java/io/whinjunction/loss/LossAccount.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/loss/LossAnalyzer.java
@@ -17,7 +17,7 @@
  * have been. Denied requests and callers that left early are no losses. Confined to one
  * thread.
  */
-public final class LossAccount {
+public final class LossAnalyzer {
 
 	/** Attempts and detours of requests that have not ended yet. */
 	private final Map<String, Trail> trails = new HashMap<>();
--- a/whinjunction-core/src/test/java/io/whinjunction/loss/LossAccountTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/loss/LossAnalyzerTests.java
@@ -7,9 +7,9 @@
 /**
  * What a router's log says of requests that were not on time.
  */
-class LossAccountTests {
+class LossAnalyzerTests {
 
-	private final LossAccount account = new LossAccount();
+	private final LossAnalyzer account = new LossAnalyzer();
 
 	@Test
 	void aRequestOnTimeIsCountedAndIsNoLoss() {
