--- a/whinjunction-core/src/main/java/io/whinjunction/log/LineLog.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/log/LineLog.java
@@ -37,7 +37,7 @@
 
 	private final FileOutputStream out = new FileOutputStream(FileDescriptor.out);
 
-	private final LineTime time = new LineTime();
+	private final TimestampFormatter time = new TimestampFormatter();
 
 	private LineLog() {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/log/LineTime.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/log/TimestampFormatter.java
@@ -9,7 +9,7 @@
  * from one line to the next, and formatted again only in another second. Safe for all
  * threads: what is kept is replaced as a whole.
  */
-final class LineTime {
+final class TimestampFormatter {
 
 	private static final int NS_PER_MS = 1_000_000;
 
--- a/whinjunction-core/src/test/java/io/whinjunction/log/LineTimeTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/log/TimestampFormatterTests.java
@@ -11,9 +11,9 @@
 /**
  * Times of log lines.
  */
-class LineTimeTests {
+class TimestampFormatterTests {
 
-	private final LineTime time = new LineTime();
+	private final TimestampFormatter time = new TimestampFormatter();
 
 	// The time of day may jump back; what was kept of a second must not be written for
 	// another one.
