--- a/whinjunction-core/src/main/java/io/whinjunction/log/Logs.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/log/Logs.java
@@ -25,7 +25,7 @@
 	 * @param level for example {@code debug}
 	 * @return whether there is such a level
 	 */
-	public static boolean level(String level) {
+	public static boolean setLevel(String level) {
 		Level parsed = Level.toLevel(level, null);
 		if (parsed == null) {
 			return false;
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/OperatorHandler.java
@@ -66,7 +66,7 @@
 				yield Reply.json(202, "{}");
 			}
 			case "POST /manifest" -> offer(request);
-			case "POST /log-level" -> Logs.level(request.parameter("level").orElse("")) ? Reply.json(200, "{}")
+			case "POST /log-level" -> Logs.setLevel(request.parameter("level").orElse("")) ? Reply.json(200, "{}")
 					: Reply.text(400, "level is one of trace, debug, info, warn, error\n");
 			default -> Reply.text(404, "the paths are /healthz /readyz /metrics /status /upstreams /explain/ID\n");
 		};
