--- a/whinjunction-core/src/main/java/io/whinjunction/metrics/EntryMetrics.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/metrics/EntryMetrics.java
@@ -57,7 +57,7 @@
 	 * @param outcome the outcome's word
 	 * @param code the refusal's word, or {@code ok}
 	 */
-	public void ended(String service, String team, String outcome, String code) {
+	public void requestCompleted(String service, String team, String outcome, String code) {
 		this.requests.labelValues(service, team, outcome, code).inc();
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
@@ -97,7 +97,7 @@
 		};
 		String code = (refusal != null) ? refusal.code().wireName() : "ok";
 		long tookMs = this.parts.ticker().nowMs() - this.startedAtMs;
-		this.parts.metrics().ended(this.service, this.team, outcome.headerValue(), code);
+		this.parts.metrics().requestCompleted(this.service, this.team, outcome.headerValue(), code);
 		this.span.setAttribute("whin.outcome", outcome.headerValue()).setAttribute("whin.code", code);
 		this.span.end();
 		ObjectNode node = Json.object();
