--- a/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
@@ -78,7 +78,7 @@
 	 * @param headers the caller's headers, names in lower case
 	 * @return the span
 	 */
-	public Span callerLeg(String name, Map<String, String> headers) {
+	public Span startServerSpan(String name, Map<String, String> headers) {
 		Context parent = W3CTraceContextPropagator.getInstance().extract(Context.root(), headers, GETTER);
 		return this.tracer.spanBuilder(name).setParent(parent).setSpanKind(SpanKind.SERVER).startSpan();
 	}
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
@@ -93,7 +93,7 @@
 		ThreadLocalRandom.current().nextBytes(id);
 		Map<String, String> headers = new HashMap<>();
 		request.headers().forEach((header) -> headers.putIfAbsent(header.getKey(), header.getValue()));
-		Span span = this.parts.tracing().callerLeg("caller " + request.method(), headers);
+		Span span = this.parts.tracing().startServerSpan("caller " + request.method(), headers);
 		return new RequestRecord(this.parts, "r-" + HexFormat.of().formatHex(id), span);
 	}
 
