--- a/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
@@ -89,7 +89,7 @@
 	 * @param name the part's name
 	 * @return the part
 	 */
-	public Span part(Span parent, String name) {
+	public Span startChildSpan(Span parent, String name) {
 		return this.tracer.spanBuilder(name).setParent(Context.root().with(parent)).startSpan();
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -48,7 +48,7 @@
 			return refuse(exchange, record, Gate.unknownService(passed, body.model()));
 		}
 		record.service(model.name());
-		Span waiting = this.parts.tracing().part(record.span(), "admission");
+		Span waiting = this.parts.tracing().startChildSpan(record.span(), "admission");
 		Refusal refusal = Admission.enter(this.parts, this.parts.drafts(), passed.team(), model.answerDeadlineMs(),
 				exchange);
 		waiting.end();
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -104,7 +104,7 @@
 		ActionName action = new ActionName(sending.passed.team().name(), sending.service.name(), key);
 		String bodyHash = ActionName.sha256(request.method().getBytes(StandardCharsets.UTF_8),
 				sending.target.getBytes(StandardCharsets.UTF_8), request.body());
-		Span span = this.parts.tracing().part(sending.record.span(), "claim");
+		Span span = this.parts.tracing().startChildSpan(sending.record.span(), "claim");
 		Claimed claimed = this.parts.claims().claim(action, bodyHash);
 		span.end();
 		return switch (claimed) {
