--- a/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
@@ -101,7 +101,7 @@
 	 * @param durationMs how long it took
 	 * @param well whether it ended well
 	 */
-	public void endedHop(Span parent, String name, Attributes attributes, double durationMs, boolean well) {
+	public void recordHop(Span parent, String name, Attributes attributes, double durationMs, boolean well) {
 		long endNs = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
 		Span span = this.tracer.spanBuilder(name)
 			.setParent(Context.root().with(parent))
--- a/whinjunction-core/src/test/java/io/whinjunction/trace/TracingTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/trace/TracingTests.java
@@ -33,7 +33,7 @@
 		try (Tracing tracing = Tracing.with("entry-1", new Collecting())) {
 			Span span = tracing.startServerSpan("caller POST", Map.of("traceparent", "00-" + TRACE + "-" + CALLER + "-01"));
 			tracing.startChildSpan(span, "admission").end();
-			tracing.endedHop(span, "stage 0-8", Attributes.empty(), 5, false);
+			tracing.recordHop(span, "stage 0-8", Attributes.empty(), 5, false);
 			Map<String, String> headers = new HashMap<>();
 			tracing.inject(span, headers);
 			span.end();
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -210,7 +210,7 @@
 		sending.record.hops(List.of(new Hop(1, upstream.id(), upstream.failureDomain(), null, 0, 1, tookMs,
 				well ? "ok" : result.getClass().getSimpleName())));
 		this.parts.tracing()
-			.endedHop(sending.record.span(), "call " + sending.service.name(),
+			.recordHop(sending.record.span(), "call " + sending.service.name(),
 					Attributes.builder().put("whin.upstream", upstream.id()).build(), tookMs, well);
 		return result;
 	}
