--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Configuration.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Configuration.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * The one model of the configuration that everything reads. Built whole by
- * {@link ConfigurationReader}, then immutable.
+ * The configuration model shared by all components. Built completely by
+ * {@link ConfigurationReader}; immutable.
  *
- * @param revision its revision; goes up by one with each accepted change
+ * @param revision the revision; incremented by one with each accepted change
  * @param places the places by name
  * @param services the services by name
  * @param teams the teams by name
@@ -15,13 +15,16 @@
 public record Configuration(long revision, Map<String, Place> places, Map<String, Service> services,
 		Map<String, Team> teams) {
 
-	/** What an entry holds before it has seen a manifest: it permits nothing. */
+	/**
+	 * The configuration of an entry that has not received a manifest yet; it permits
+	 * nothing.
+	 */
 	public static final Configuration EMPTY = new Configuration(0, Map.of(), Map.of(), Map.of());
 
 	/**
-	 * The place that a failure domain lies in.
+	 * Returns the place that contains a failure domain.
 	 * @param failureDomain the failure domain
-	 * @return its place, or empty where no place names it
+	 * @return its place, or empty if no place lists it
 	 */
 	public Optional<Place> placeOf(String failureDomain) {
 		for (Place place : this.places.values()) {
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/ConfigurationHolder.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/ConfigurationHolder.java
@@ -3,17 +3,17 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The configuration in force in this process.
+ * Holds the configuration in effect in this process.
  * <p>
- * Invariant: the revision never goes down and a manifest that fails its checks is never
- * taken. Safe for all threads.
+ * Invariant: the revision never decreases, and an invalid manifest is never accepted.
+ * Thread-safe.
  */
 public final class ConfigurationHolder {
 
 	private final AtomicReference<Held> held = new AtomicReference<>(new Held(null, Configuration.EMPTY));
 
 	/**
-	 * What is in force.
+	 * Returns the configuration in effect.
 	 * @return the configuration; {@link Configuration#EMPTY} before the first manifest
 	 */
 	public Configuration configuration() {
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	 * The manifest in force.
+	 * Returns the manifest in effect.
 	 * @return the manifest, or {@code null} before the first
 	 */
 	public Manifest manifest() {
@@ -29,9 +29,9 @@
 	}
 
 	/**
-	 * Takes a manifest where it is newer than the one in force.
-	 * @param manifest what was read or offered
-	 * @return whether it is in force now
+	 * Accepts a manifest if it is valid and newer than the one in effect.
+	 * @param manifest the manifest that was read or received
+	 * @return whether it is in effect now
 	 */
 	public boolean offer(Manifest manifest) {
 		if (manifest.revision() <= configuration().revision()) {
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/ConfigurationReader.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/ConfigurationReader.java
@@ -16,10 +16,10 @@
 import tools.jackson.dataformat.toml.TomlMapper;
 
 /**
- * Builds a {@link Configuration} from a base file and overlays, or from a manifest.
+ * Builds a {@link Configuration} from a base file with overlays, or from a manifest.
  * <p>
- * Invariant: either every check passed and the result is {@link Checked.Valid}, or the
- * result names all faults at once. Stateless.
+ * Invariant: the result is {@link Checked.Valid} if every check passed, and otherwise
+ * lists all problems. Stateless.
  */
 public final class ConfigurationReader {
 
@@ -33,11 +33,11 @@
 	}
 
 	/**
-	 * Reads and checks a base file with its overlays; a later file's value goes before an
-	 * earlier one's, table by table.
+	 * Reads and validates a base file with its overlays. Values of later files override
+	 * those of earlier ones; tables are merged.
 	 * @param base the base file
 	 * @param overlays the overlays, in order
-	 * @return the configuration at revision 0 with its merged document, or all faults
+	 * @return the configuration at revision 0 with its merged document, or all problems
 	 */
 	public static Checked readFiles(Path base, List<Path> overlays) {
 		List<Problem> problems = new ArrayList<>();
@@ -61,8 +61,8 @@
 	/**
 	 * Reads one TOML file.
 	 * @param file the file
-	 * @param problems where a fault goes
-	 * @return its tree, or {@code null} where there was a fault
+	 * @param problems the list to add problems to
+	 * @return its tree, or {@code null} if it could not be read
 	 */
 	public static JsonNode readToml(Path file, List<Problem> problems) {
 		try {
@@ -80,11 +80,11 @@
 	}
 
 	/**
-	 * Checks a merged document.
-	 * @param name what to call it in messages
+	 * Validates a merged document.
+	 * @param name the name of the document in messages
 	 * @param document the document
-	 * @param revision the revision it has
-	 * @return the configuration, or all faults
+	 * @param revision its revision
+	 * @return the configuration, or all problems
 	 */
 	public static Checked check(String name, JsonNode document, long revision) {
 		List<Problem> problems = new ArrayList<>();
@@ -119,9 +119,10 @@
 			Set<String> failureDomains = new LinkedHashSet<>(section.texts("failure-domains", null));
 			places.put(name, new Place(name, section.text("region", null), Set.copyOf(failureDomains)));
 			for (String failureDomain : failureDomains) {
-				String other = owners.putIfAbsent(failureDomain, name);
-				if (other != null) {
-					section.report("failure-domains", "'" + failureDomain + "' lies in place '" + other + "' already");
+				String owner = owners.putIfAbsent(failureDomain, name);
+				if (owner != null) {
+					section.report("failure-domains",
+							"'" + failureDomain + "' is already assigned to place '" + owner + "'");
 				}
 			}
 			section.reportUnknownKeys();
@@ -137,7 +138,7 @@
 				case "model" -> services.put(name, model(name, section));
 				case "plain" -> services.put(name, plain(name, section));
 				default -> section.report("kind",
-						"'" + kind + "' is no kind of service" + NearestMatch.hint(kind, List.of("model", "plain")));
+						"'" + kind + "' is not a kind of service" + NearestMatch.hint(kind, List.of("model", "plain")));
 			}
 			section.reportUnknownKeys();
 		});
@@ -155,26 +156,27 @@
 				section.report("layer-ranges", ex.getMessage() + "; write for example \"0-8\" for layers 0 to 7");
 			}
 		}
-		checkCover(section, layerCount, ranges);
+		checkLayersCovered(section, layerCount, ranges);
 		return new Service.Model(name, layerCount, List.copyOf(ranges), section.bool("checks-fencing", false),
 				section.integer("upstreams-per-range", 2, 1, 1000),
 				section.integer("step-timeout-ms", 2000, 10, MAX_TIMEOUT_MS),
 				section.integer("answer-deadline-ms", 60_000, 100, MAX_TIMEOUT_MS));
 	}
 
-	private static void checkCover(Section section, int layerCount, List<LayerRange> ranges) {
-		int next = 0;
+	private static void checkLayersCovered(Section section, int layerCount, List<LayerRange> ranges) {
+		int covered = 0;
 		for (LayerRange range : ranges) {
-			if (range.first() > next) {
-				section.report("layer-ranges", "layers " + next + " to " + (range.first() - 1) + " are in no range");
+			if (range.first() > covered) {
+				section.report("layer-ranges",
+						"layers " + covered + " to " + (range.first() - 1) + " are not covered by any range");
 			}
-			if (range.first() < next) {
+			if (range.first() < covered) {
 				section.report("layer-ranges", "'" + range + "' overlaps the range before it");
 			}
-			next = range.end();
+			covered = range.end();
 		}
-		if (next != layerCount) {
-			section.report("layer-ranges", "end at layer " + next + ", the model has " + layerCount);
+		if (covered != layerCount) {
+			section.report("layer-ranges", "end at layer " + covered + ", the model has " + layerCount);
 		}
 	}
 
@@ -193,9 +195,9 @@
 				if (!hash.matches(KEY_HASH_PATTERN)) {
 					section.report("key-sha256", "'" + hash + "' is not a SHA-256 in 64 lower-case hexadecimal digits");
 				}
-				String other = owners.putIfAbsent(hash, name);
-				if (other != null) {
-					section.report("key-sha256", "is also a key of team '" + other + "'");
+				String owner = owners.putIfAbsent(hash, name);
+				if (owner != null) {
+					section.report("key-sha256", "is also a key of team '" + owner + "'");
 				}
 			}
 			List<String> allowedPlaces = section.texts("places", null);
@@ -213,21 +215,21 @@
 		return teams;
 	}
 
-	private static void checkKnown(Section section, String key, List<String> words, Set<String> known) {
-		for (String word : words) {
-			if (!known.contains(word)) {
-				section.report(key, "'" + word + "' is not known" + NearestMatch.hint(word, known));
+	private static void checkKnown(Section section, String key, List<String> names, Set<String> known) {
+		for (String name : names) {
+			if (!known.contains(name)) {
+				section.report(key, "'" + name + "' is not known" + NearestMatch.hint(name, known));
 			}
 		}
 	}
 
 	/**
-	 * The result of a check.
+	 * The result of a validation.
 	 */
 	public sealed interface Checked {
 
 		/**
-		 * Everything is in order.
+		 * The document is valid.
 		 *
 		 * @param configuration the configuration
 		 * @param document the merged document it was built from
@@ -236,9 +238,9 @@
 		}
 
 		/**
-		 * Something is not.
+		 * The document is invalid.
 		 *
-		 * @param problems all faults, at least one
+		 * @param problems all problems, at least one
 		 */
 		record Invalid(List<Problem> problems) implements Checked {
 		}
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Freshness.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Freshness.java
@@ -3,18 +3,19 @@
 import com.google.common.flogger.FluentLogger;
 
 /**
- * Tells whether this entry may act on the revision it holds.
+ * Decides whether this entry may act on the configuration revision it holds.
  * <p>
- * The failure it is there for: an entry that is cut off, or was paused, goes on with a
- * place rule that operators have tightened meanwhile, and data goes where it must not. An
- * entry serves while somebody has proved to it within the bound that its revision is the
- * platform's. During an outage of the platform nobody can, but then nobody can change the
- * configuration either; so an entry also serves while it exchanges with peers and more
- * than half of the fleet is alive in its view, since {@code whin apply} accepts a change
- * only where more than half of the fleet confirms.
+ * Guards against an entry that is partitioned or was paused and continues with a place
+ * rule that operators have tightened meanwhile, so that data goes where it must not. An
+ * entry serves while it has a freshness proof, no older than the bound, that its revision
+ * is the platform's current one. During an outage of the platform no proof can be
+ * obtained, but the configuration cannot be changed either. An entry therefore also
+ * serves while it exchanges state with peers and more than half of the fleet is alive in
+ * its view, because {@code whin apply} accepts a change only if more than half of the
+ * fleet confirms it.
  * <p>
- * Invariant: proofs only count from the time at which they were asked for, so a late
- * answer never makes an entry look fresher than it is. Safe for all threads.
+ * Invariant: the age of a proof counts from the time at which it was requested, so that a
+ * late response never makes an entry appear fresher than it is. Thread-safe.
  */
 public final class Freshness {
 
@@ -33,49 +34,51 @@
 	private boolean served;
 
 	/**
-	 * Freshness with a bound.
-	 * @param boundMs how old a proof may be, in milliseconds
+	 * Creates an instance without any proof.
+	 * @param boundMs the maximum age of a proof, in milliseconds
 	 */
 	public Freshness(long boundMs) {
 		this.boundMs = boundMs;
 	}
 
 	/**
-	 * The platform, or a peer that had asked it, had this revision as the newest.
-	 * @param askedAtMs when that was asked, on this entry's ticker
+	 * Records that the platform, or a peer that had queried it, confirmed this revision
+	 * as the newest.
+	 * @param requestedAtMs when the confirmation was requested, on this entry's ticker
 	 */
-	public synchronized void confirmed(long askedAtMs) {
-		this.confirmedAtMs = Math.max(this.confirmedAtMs, askedAtMs);
+	public synchronized void confirmed(long requestedAtMs) {
+		this.confirmedAtMs = Math.max(this.confirmedAtMs, requestedAtMs);
 	}
 
 	/**
-	 * A peer answered and held no newer revision.
-	 * @param askedAtMs when it was asked
-	 * @param majorityAlive whether more than half of the fleet is alive in this view
+	 * Records that a peer responded and held no newer revision.
+	 * @param requestedAtMs when the peer was queried
+	 * @param majorityAlive whether more than half of the fleet is alive in this entry's
+	 * view
 	 */
-	public synchronized void exchanged(long askedAtMs, boolean majorityAlive) {
-		this.exchangedAtMs = Math.max(this.exchangedAtMs, askedAtMs);
+	public synchronized void exchanged(long requestedAtMs, boolean majorityAlive) {
+		this.exchangedAtMs = Math.max(this.exchangedAtMs, requestedAtMs);
 		this.majority = majorityAlive;
 	}
 
 	/**
-	 * The age of the newest proof.
-	 * @param nowMs the time
-	 * @return milliseconds, or -1 where there was none
+	 * Returns the age of the newest proof.
+	 * @param nowMs the current time, on this entry's ticker
+	 * @return milliseconds, or -1 if there has been none
 	 */
 	public synchronized long ageMs(long nowMs) {
 		return (this.confirmedAtMs == NEVER) ? -1 : nowMs - this.confirmedAtMs;
 	}
 
 	/**
-	 * Whether this entry may act on its revision.
-	 * @param nowMs the time
-	 * @return {@code false} where it has to refuse
+	 * Returns whether this entry may act on its revision.
+	 * @param nowMs the current time, on this entry's ticker
+	 * @return {@code false} if it must refuse requests
 	 */
 	public synchronized boolean mayServe(long nowMs) {
-		boolean proved = nowMs - this.confirmedAtMs <= this.boundMs;
-		boolean together = this.majority && nowMs - this.exchangedAtMs <= this.boundMs;
-		boolean serves = proved || (together && this.confirmedAtMs != NEVER);
+		boolean proofValid = nowMs - this.confirmedAtMs <= this.boundMs;
+		boolean majorityReachable = this.majority && nowMs - this.exchangedAtMs <= this.boundMs;
+		boolean serves = proofValid || (majorityReachable && this.confirmedAtMs != NEVER);
 		if (serves != this.served) {
 			this.served = serves;
 			logger.atInfo()
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Json.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Json.java
@@ -6,7 +6,7 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * The one JSON mapper, with limits on what strangers may send. Safe for all threads.
+ * The shared JSON mapper, with limits on untrusted input. Thread-safe.
  */
 public final class Json {
 
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * An empty object.
+	 * Creates an empty object.
 	 * @return a new node
 	 */
 	public static ObjectNode object() {
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/LayerRange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/LayerRange.java
@@ -1,7 +1,7 @@
 package io.whinjunction.configuration;
 
 /**
- * Consecutive layers of a model. Immutable.
+ * A range of consecutive layers of a model. Immutable.
  *
  * @param first the first layer, counted from 0
  * @param end one past the last layer
@@ -15,10 +15,11 @@
 	}
 
 	/**
-	 * Reads {@code FIRST-END}, for example {@code 0-8} for layers 0 to 7.
-	 * @param text the range
+	 * Parses a range of the form {@code FIRST-END}, for example {@code 0-8} for layers 0
+	 * to 7.
+	 * @param text the text form of the range
 	 * @return the range
-	 * @throws IllegalArgumentException where the text is not a range
+	 * @throws IllegalArgumentException if the text is not a range
 	 */
 	public static LayerRange parse(String text) {
 		String[] parts = text.split("-", -1);
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Manifest.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Manifest.java
@@ -5,13 +5,13 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * The configuration as it stands in the object API: one object under {@link #KEY}, so
- * that a change is whole or not at all. Immutable.
+ * The configuration as stored in the object API: one object under {@link #KEY}, so that a
+ * change is atomic. Immutable.
  *
- * @param revision goes up by one with each accepted change
+ * @param revision the revision; incremented by one with each accepted change
  * @param document the merged document
- * @param nonce the writer's own mark, by which it knows its write again when the reply
- * was lost
+ * @param nonce a value unique to the writer, by which it recognizes its own write after
+ * the response was lost
  */
 public record Manifest(long revision, JsonNode document, String nonce) {
 
@@ -19,7 +19,7 @@
 	public static final String KEY = "configuration/manifest";
 
 	/**
-	 * The stored form.
+	 * Returns the stored form.
 	 * @return the JSON text
 	 */
 	public String toJson() {
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * Reads the stored form.
-	 * @param json the stored form
-	 * @return the manifest, or {@code null} where it is none
+	 * Parses the stored form.
+	 * @param json the JSON text
+	 * @return the manifest, or {@code null} if the text is not a manifest
 	 */
 	public static Manifest parse(String json) {
 		try {
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/NearestMatch.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/NearestMatch.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 
 /**
- * Finds the word that somebody probably meant. Stateless.
+ * Suggests the allowed word nearest to a misspelled one. Stateless.
  */
 public final class NearestMatch {
 
@@ -11,23 +11,23 @@
 	}
 
 	/**
-	 * A hint for a message.
-	 * @param word what was written
-	 * @param allowed what may be written
+	 * Returns a hint to append to an error message.
+	 * @param word the unknown word
+	 * @param allowed the allowed words
 	 * @return for example {@code ; did you mean 'places'? allowed: places, teams}
 	 */
 	public static String hint(String word, Collection<String> allowed) {
 		String nearest = null;
-		int least = Math.max(2, word.length() / 2);
+		int minDistance = Math.max(2, word.length() / 2);
 		for (String candidate : allowed) {
 			int distance = distance(word, candidate);
-			if (distance <= least) {
-				least = distance;
+			if (distance <= minDistance) {
+				minDistance = distance;
 				nearest = candidate;
 			}
 		}
-		String meant = (nearest != null) ? "; did you mean '" + nearest + "'?" : ";";
-		return meant + " allowed: " + String.join(", ", allowed);
+		String suggestion = (nearest != null) ? "; did you mean '" + nearest + "'?" : ";";
+		return suggestion + " allowed: " + String.join(", ", allowed);
 	}
 
 	private static int distance(String left, String right) {
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Problem.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Problem.java
@@ -1,11 +1,11 @@
 package io.whinjunction.configuration;
 
 /**
- * One fault of a settings file, for a person. Immutable.
+ * A problem in a settings file, reported to an operator. Immutable.
  *
- * @param file the file it stands in
+ * @param file the file that contains it
  * @param key the full key
- * @param message the bad value, what is allowed and the nearest match
+ * @param message the invalid value, what is allowed and the nearest match
  */
 public record Problem(String file, String key, String message) {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Section.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Section.java
@@ -10,11 +10,11 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * One table of a settings file, read with checks.
+ * A table of a settings file whose values are validated when read.
  * <p>
- * Invariant: every fault is added to one shared list and a usable default is returned, so
- * that a reader meets all faults in one pass; {@link #reportUnknownKeys()} reports keys that nobody
- * asked for. Confined to one thread.
+ * Invariant: every problem is added to one shared list and a usable default is returned,
+ * so that one pass finds all problems; {@link #reportUnknownKeys()} reports keys that
+ * were never read. Confined to one thread.
  */
 public final class Section {
 
@@ -26,7 +26,7 @@
 
 	private final List<Problem> problems;
 
-	private final Set<String> asked = new LinkedHashSet<>();
+	private final Set<String> readKeys = new LinkedHashSet<>();
 
 	Section(String file, String path, JsonNode node, List<Problem> problems) {
 		this.file = file;
@@ -36,10 +36,10 @@
 	}
 
 	/**
-	 * Opens the outermost table.
-	 * @param file the name to give in messages
+	 * Opens the root table.
+	 * @param file the file name in messages
 	 * @param node the table
-	 * @param problems where faults go
+	 * @param problems the list to add problems to
 	 * @return the section
 	 */
 	public static Section root(String file, JsonNode node, List<Problem> problems) {
@@ -47,32 +47,34 @@
 	}
 
 	/**
-	 * A text.
+	 * Reads a string.
 	 * @param key the key
-	 * @param fallback what is taken where the key is missing; {@code null}: required
-	 * @return the text, {@code ""} where it is missing and required
+	 * @param fallback the default if the key is missing; {@code null} if the key is
+	 * required
+	 * @return the string; {@code ""} if it is missing but required, or invalid
 	 */
 	public String text(String key, String fallback) {
 		JsonNode value = value(key);
 		if (value == null) {
 			if (fallback == null) {
-				report(key, "is missing; a text is required");
+				report(key, "is missing; a string is required");
 			}
 			return (fallback != null) ? fallback : "";
 		}
 		if (!value.isString()) {
-			report(key, "'" + value + "' is not a text in quotes");
+			report(key, "'" + value + "' is not a string in quotes");
 			return "";
 		}
 		return value.stringValue();
 	}
 
 	/**
-	 * A whole number.
+	 * Reads an integer.
 	 * @param key the key, ending in its unit
-	 * @param fallback what is taken where the key is missing; {@code null}: required
-	 * @param min the least allowed
-	 * @param max the most allowed
+	 * @param fallback the default if the key is missing; {@code null} if the key is
+	 * required
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
 	 * @return the number
 	 */
 	public int integer(String key, Integer fallback, int min, int max) {
@@ -85,7 +87,7 @@
 			return min;
 		}
 		if (!value.isIntegralNumber() || value.longValue() < min || value.longValue() > max) {
-			report(key, "'" + plain(value) + "' is not a whole number from " + min + " to " + max
+			report(key, "'" + unquoted(value) + "' is not a whole number from " + min + " to " + max
 					+ "; the unit is in the key's name");
 			return min;
 		}
@@ -93,9 +95,9 @@
 	}
 
 	/**
-	 * A truth value.
+	 * Reads a boolean.
 	 * @param key the key
-	 * @param fallback what is taken where the key is missing
+	 * @param fallback the default if the key is missing
 	 * @return the value
 	 */
 	public boolean bool(String key, boolean fallback) {
@@ -104,44 +106,45 @@
 			return fallback;
 		}
 		if (!value.isBoolean()) {
-			report(key, "'" + plain(value) + "' is neither true nor false");
+			report(key, "'" + unquoted(value) + "' is neither true nor false");
 			return fallback;
 		}
 		return value.booleanValue();
 	}
 
 	/**
-	 * A list of texts.
+	 * Reads a list of strings.
 	 * @param key the key
-	 * @param fallback what is taken where the key is missing; {@code null}: required
-	 * @return the texts in order
+	 * @param fallback the default if the key is missing; {@code null} if the key is
+	 * required
+	 * @return the strings in order
 	 */
 	public List<String> texts(String key, List<String> fallback) {
 		JsonNode value = value(key);
 		if (value == null) {
 			if (fallback == null) {
-				report(key, "is missing; a list of texts is required");
+				report(key, "is missing; a list of strings is required");
 			}
 			return (fallback != null) ? fallback : List.of();
 		}
 		if (!value.isArray()) {
-			report(key, "'" + plain(value) + "' is not a list of texts");
+			report(key, "'" + unquoted(value) + "' is not a list of strings");
 			return List.of();
 		}
-		List<String> texts = new ArrayList<>();
+		List<String> strings = new ArrayList<>();
 		for (JsonNode element : value) {
 			if (element.isString()) {
-				texts.add(element.stringValue());
+				strings.add(element.stringValue());
 			}
 			else {
-				report(key, "'" + plain(element) + "' is not a text in quotes");
+				report(key, "'" + unquoted(element) + "' is not a string in quotes");
 			}
 		}
-		return texts;
+		return strings;
 	}
 
 	/**
-	 * The tables below a key, by name.
+	 * Reads the tables below a key, by name.
 	 * @param key the key
 	 * @return a section for each table
 	 */
@@ -152,7 +155,7 @@
 			return tables;
 		}
 		if (!value.isObject()) {
-			report(key, "'" + plain(value) + "' is not a group of tables [" + key + ".NAME]");
+			report(key, "'" + unquoted(value) + "' is not a group of tables [" + key + ".NAME]");
 			return tables;
 		}
 		for (Map.Entry<String, JsonNode> entry : value.properties()) {
@@ -163,45 +166,45 @@
 	}
 
 	/**
-	 * One table below a key.
+	 * Reads one table below a key.
 	 * @param key the key
-	 * @return its section, or {@code null} where there is none
+	 * @return its section, or {@code null} if there is none
 	 */
 	public Section table(String key) {
 		JsonNode value = value(key);
 		if (value != null && !value.isObject()) {
-			report(key, "'" + plain(value) + "' is not a table");
+			report(key, "'" + unquoted(value) + "' is not a table");
 			return null;
 		}
 		return (value != null) ? new Section(this.file, child(key), value, this.problems) : null;
 	}
 
 	/**
-	 * Reports a fault at a key.
+	 * Reports a problem at a key.
 	 * @param key the key
-	 * @param message what is wrong and what is allowed
+	 * @param message the invalid value and what is allowed
 	 */
 	public void report(String key, String message) {
 		this.problems.add(new Problem(this.file, child(key), message));
 	}
 
 	/**
-	 * Reports every key that was never asked for, with the nearest one that was.
+	 * Reports every key that was never read, with the nearest key that was.
 	 */
 	public void reportUnknownKeys() {
 		if (!this.node.isObject()) {
-			this.problems.add(new Problem(this.file, this.path, "'" + plain(this.node) + "' is not a table"));
+			this.problems.add(new Problem(this.file, this.path, "'" + unquoted(this.node) + "' is not a table"));
 			return;
 		}
 		for (String key : this.node.propertyNames()) {
-			if (!this.asked.contains(key)) {
-				report(key, "is not known" + NearestMatch.hint(key, this.asked));
+			if (!this.readKeys.contains(key)) {
+				report(key, "is not known" + NearestMatch.hint(key, this.readKeys));
 			}
 		}
 	}
 
 	private JsonNode value(String key) {
-		this.asked.add(key);
+		this.readKeys.add(key);
 		return this.node.get(key);
 	}
 
@@ -209,7 +212,7 @@
 		return this.path.isEmpty() ? key : this.path + "." + key;
 	}
 
-	private static String plain(JsonNode value) {
+	private static String unquoted(JsonNode value) {
 		return value.isString() ? value.stringValue() : value.toString();
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/Service.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/Service.java
@@ -4,26 +4,28 @@
 import java.util.Set;
 
 /**
- * Something that callers ask for. Immutable.
+ * A service that callers can request. Immutable.
  */
 public sealed interface Service {
 
 	/**
-	 * The name that callers and instances use.
+	 * Returns the name that callers and instances use.
 	 * @return the name
 	 */
 	String name();
 
 	/**
-	 * A model whose layers are spread over upstreams.
+	 * A model whose layers are distributed over upstreams.
 	 *
 	 * @param name its name
-	 * @param layerCount how many layers a token passes
-	 * @param ranges the ranges that upstreams hold, in order, without gap or overlap
+	 * @param layerCount the number of layers
+	 * @param ranges the layer ranges that upstreams hold, in order, without gap or
+	 * overlap
 	 * @param checksFencing whether its engines refuse an order with an old fencing number
-	 * @param upstreamsPerRange how many upstreams the controller keeps on each range
-	 * @param stepTimeoutMs after how long a silent step counts as failed
-	 * @param answerDeadlineMs within how long an answer must be whole
+	 * @param upstreamsPerRange how many upstreams the controller maintains for each range
+	 * @param stepTimeoutMs the timeout of a step, in milliseconds
+	 * @param answerDeadlineMs the time within which an answer must be complete, in
+	 * milliseconds
 	 */
 	record Model(String name, int layerCount, List<LayerRange> ranges, boolean checksFencing, int upstreamsPerRange,
 			int stepTimeoutMs, int answerDeadlineMs) implements Service {
@@ -33,8 +35,8 @@
 	 * A plain HTTP service.
 	 *
 	 * @param name its name
-	 * @param repeatableMethods methods whose calls may be repeated
-	 * @param callTimeoutMs after how long a silent call is given up
+	 * @param repeatableMethods the HTTP methods whose calls may be repeated
+	 * @param callTimeoutMs the timeout of a call, in milliseconds
 	 */
 	record Plain(String name, Set<String> repeatableMethods, int callTimeoutMs) implements Service {
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/engine/EngineClient.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/engine/EngineClient.java
@@ -5,31 +5,31 @@
 import io.whinjunction.configuration.LayerRange;
 
 /**
- * What the router asks of a model engine. Calls block the calling (virtual) thread for at
- * most the given time. Implementations are safe for all threads.
+ * Client of model engines. Calls block the calling (virtual) thread for at most the given
+ * timeout. Implementations are thread-safe.
  */
 public interface EngineClient {
 
 	/**
 	 * Runs one step of one stream on the engine's layers.
 	 * @param address the engine, {@code HOST:PORT}
-	 * @param step what to run
-	 * @param timeoutMs after how long the engine counts as silent
-	 * @return what is known of the step
+	 * @param step the step to run
+	 * @param timeoutMs the timeout, in milliseconds
+	 * @return the result of the step
 	 */
 	StepResult step(String address, Step step, long timeoutMs);
 
 	/**
-	 * Tells an engine to forget a stream. Best effort.
+	 * Requests that an engine discard a stream. Best effort.
 	 * @param address the engine
 	 * @param stream the stream
 	 */
 	void cancel(String address, String stream);
 
 	/**
-	 * Asks an engine for its state.
+	 * Queries the state of an engine.
 	 * @param address the engine
-	 * @return its report, or {@code null} where it did not answer
+	 * @return its report, or {@code null} if it did not answer
 	 */
 	EngineReport report(String address);
 
@@ -37,32 +37,32 @@
 	 * Orders an engine to hold a layer range.
 	 * @param address the engine
 	 * @param order the order
-	 * @return whether the engine took it; it still has to be read back
+	 * @return whether the engine accepted the order; its effect still has to be read back
 	 */
 	boolean order(String address, LoadOrder order);
 
 	/**
-	 * One step, fully named so that an answer can be matched to it and to nothing else.
+	 * One step, identified completely so that an answer matches this step only.
 	 *
 	 * @param stream the stream
 	 * @param attempt the attempt; a higher one fences lower ones
 	 * @param position the position of the first token in {@code inputs}
 	 * @param range the layers to run
-	 * @param generation the engine generation expected to run them
+	 * @param generation the engine generation that is expected to run them
 	 * @param inputs texts for the first layer, activations for later ones
-	 * @param priority higher runs first
+	 * @param priority the priority; steps of higher priority run first
 	 */
 	record Step(String stream, int attempt, int position, LayerRange range, long generation, List<String> inputs,
 			int priority) {
 	}
 
 	/**
-	 * What is known of a step.
+	 * The result of a step.
 	 */
 	sealed interface StepResult {
 
 		/**
-		 * The engine ran the step; the fields are those it echoed.
+		 * The engine ran the step. The fields are those that the engine returned.
 		 *
 		 * @param stream the stream
 		 * @param attempt the attempt
@@ -76,27 +76,28 @@
 		}
 
 		/**
-		 * No byte of the step was written: the engine cannot have run it.
+		 * No byte of the step was written, so the engine cannot have run it.
 		 *
-		 * @param reason why
+		 * @param reason the reason
 		 */
 		record NotSent(String reason) implements StepResult {
 		}
 
 		/**
-		 * The engine said that it won't run the step. This is no proof that it has not
-		 * run it: a step that something on the way doubled ran first and is refused then.
+		 * The engine refused the step. This does not prove that the step has not run: if
+		 * an intermediary duplicated the step, the first copy ran and the second one was
+		 * refused.
 		 *
-		 * @param reason why
+		 * @param reason the reason
 		 */
 		record Refused(String reason) implements StepResult {
 		}
 
 		/**
-		 * The engine did not answer in time or the connection broke.
+		 * The engine did not answer in time, or the connection failed.
 		 *
-		 * @param reason why
-		 * @param silent whether it ran into the timeout rather than an error
+		 * @param reason the reason
+		 * @param silent whether the call timed out rather than failed
 		 */
 		record Failed(String reason, boolean silent) implements StepResult {
 		}
@@ -104,16 +105,17 @@
 	}
 
 	/**
-	 * An engine's own word on itself.
+	 * An engine's report of its own state.
 	 *
 	 * @param service the model it serves
-	 * @param range the layers it holds, or {@code null} where it is spare
-	 * @param generation goes up whenever layers, version or adapters change
-	 * @param fencing the highest fencing number it has taken
-	 * @param running steps in its batch and queue when the report was made
+	 * @param range the layers it holds, or {@code null} if it is spare
+	 * @param generation its generation; incremented whenever layers, version or adapters
+	 * change
+	 * @param fencing the highest fencing number it has accepted
+	 * @param running the number of steps in its batch and queue at the time of the report
 	 * @param tokensPerSecond its rate
-	 * @param leaving whether it will go soon
-	 * @param loading whether it is reading weights
+	 * @param leaving whether it will stop soon
+	 * @param loading whether it is loading weights
 	 */
 	record EngineReport(String service, LayerRange range, long generation, long fencing, int running,
 			double tokensPerSecond, boolean leaving, boolean loading) {
@@ -124,7 +126,7 @@
 	 *
 	 * @param service the model
 	 * @param range the layers
-	 * @param generation the generation that the engine must be at for the order to count
+	 * @param generation the engine generation for which the order is valid
 	 * @param fencing the controller's fencing number
 	 */
 	record LoadOrder(String service, LayerRange range, long generation, long fencing) {
--- a/whinjunction-core/src/main/java/io/whinjunction/engine/HttpEngineClient.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/engine/HttpEngineClient.java
@@ -14,7 +14,7 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Speaks to engines by JSON over HTTP. Safe for all threads.
+ * Engine client that uses JSON over HTTP. Thread-safe.
  */
 public final class HttpEngineClient implements EngineClient {
 
--- a/whinjunction-core/src/main/java/io/whinjunction/engine/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/engine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Model engines, behind a narrow interface.
+ * The client interface of model engines.
  */
 package io.whinjunction.engine;
--- a/whinjunction-core/src/test/java/io/whinjunction/configuration/ConfigurationHolderTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/configuration/ConfigurationHolderTests.java
@@ -15,10 +15,10 @@
  */
 class ConfigurationHolderTests {
 
-	// Late, doubled and crossed manifests reach an entry from the platform and from
-	// peers. Taking an older one would bring back a place rule that was tightened.
+	// Manifests from the platform and from peers arrive late, duplicated and out of
+	// order. Accepting an older one would restore a place rule that has been tightened.
 	@Property(seed = "21")
-	void theRevisionNeverGoesDown(@ForAll @Size(max = 50) List<@LongRange(min = 1, max = 20) Long> revisions) {
+	void theRevisionNeverDecreases(@ForAll @Size(max = 50) List<@LongRange(min = 1, max = 20) Long> revisions) {
 		ConfigurationHolder holder = new ConfigurationHolder();
 		long highest = 0;
 		for (long revision : revisions) {
@@ -29,14 +29,14 @@
 	}
 
 	@Test
-	void aManifestThatFailsItsChecksIsNotTaken() {
+	void anInvalidManifestIsNotAccepted() {
 		ConfigurationHolder holder = new ConfigurationHolder();
 		assertThat(holder.offer(new Manifest(3, Json.object().put("palces", 1), "n"))).isFalse();
 		assertThat(holder.configuration().revision()).isZero();
 	}
 
 	@Test
-	void aManifestSurvivesItsStoredForm() {
+	void aManifestSurvivesARoundTripThroughItsStoredForm() {
 		Manifest manifest = new Manifest(4, Json.object().put("x", "y"), "nonce");
 		assertThat(Manifest.parse(manifest.toJson())).isEqualTo(manifest);
 		assertThat(Manifest.parse("{\"revision\":\"4\"}")).isNull();
--- a/whinjunction-core/src/test/java/io/whinjunction/configuration/ConfigurationReaderTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/configuration/ConfigurationReaderTests.java
@@ -18,7 +18,7 @@
 
 	private static final String HASH = "a".repeat(64);
 
-	private static final String GOOD = """
+	private static final String VALID = """
 			[places.poa]
 			region = "rs-sul"
 			failure-domains = ["poa-a", "poa-b"]
@@ -38,8 +38,8 @@
 	private Path folder;
 
 	@Test
-	void aGoodFileIsReadWhole() throws IOException {
-		Configuration configuration = valid(GOOD);
+	void aValidFileIsReadCompletely() throws IOException {
+		Configuration configuration = valid(VALID);
 		assertThat(configuration.places().get("poa").failureDomains()).containsExactlyInAnyOrder("poa-a", "poa-b");
 		assertThat(configuration.services().get("whin-llm")).isInstanceOf(Service.Model.class);
 		assertThat(configuration.placeOf("poa-b")).map(Place::name).contains("poa");
@@ -47,7 +47,7 @@
 
 	@Test
 	void anOverlayReplacesSingleValues() throws IOException {
-		Path base = write("base.toml", GOOD);
+		Path base = write("base.toml", VALID);
 		Path overlay = write("overlay.toml", "[teams.agencia]\nweight = 7\n");
 		Checked checked = ConfigurationReader.readFiles(base, List.of(overlay));
 		Team team = ((Checked.Valid) checked).configuration().teams().get("agencia");
@@ -56,8 +56,8 @@
 	}
 
 	@Test
-	void everyFaultIsReportedAtOnceWithItsKeyTheBadValueAndWhatIsAllowed() throws IOException {
-		List<String> faults = faults("""
+	void allProblemsAreReportedTogetherWithKeyBadValueAndWhatIsAllowed() throws IOException {
+		List<String> problems = problems("""
 				[places.poa]
 				region = "rs-sul"
 				failure-domains = ["poa-a"]
@@ -83,31 +83,31 @@
 
 				[team.other]
 				""");
-		assertThat(faults).hasSize(13)
-			.anyMatch((fault) -> fault.contains("places.cxs.region: '7' is not a text in quotes"))
-			.anyMatch((fault) -> fault.contains("'poa-a' lies in place 'poa' already"))
-			.anyMatch((fault) -> fault.contains("'4-16' overlaps the range before it"))
-			.anyMatch((fault) -> fault.contains("layers 16 to 19 are in no range"))
-			.anyMatch((fault) -> fault.contains("'x' is not FIRST-END"))
-			.anyMatch((fault) -> fault.contains("end at layer 24, the model has 32"))
-			.anyMatch((fault) -> fault.contains("step-timeout-ms: '2s' is not a whole number from 10 to 3600000"))
-			.anyMatch((fault) -> fault.contains("'plane' is no kind of service; did you mean 'plain'?"))
-			.anyMatch((fault) -> fault.contains("'short' is not a SHA-256"))
-			.anyMatch((fault) -> fault.contains("'whin-lm' is not known; did you mean 'whin-llm'?"))
-			.anyMatch((fault) -> fault.contains("'pao' is not known; did you mean 'poa'?"))
-			.anyMatch((fault) -> fault.contains("wieght: is not known; did you mean 'weight'?"))
-			.anyMatch((fault) -> fault.contains("team: is not known; did you mean 'teams'?"));
+		assertThat(problems).hasSize(13)
+			.anyMatch((problem) -> problem.contains("places.cxs.region: '7' is not a string in quotes"))
+			.anyMatch((problem) -> problem.contains("'poa-a' is already assigned to place 'poa'"))
+			.anyMatch((problem) -> problem.contains("'4-16' overlaps the range before it"))
+			.anyMatch((problem) -> problem.contains("layers 16 to 19 are not covered by any range"))
+			.anyMatch((problem) -> problem.contains("'x' is not FIRST-END"))
+			.anyMatch((problem) -> problem.contains("end at layer 24, the model has 32"))
+			.anyMatch((problem) -> problem.contains("step-timeout-ms: '2s' is not a whole number from 10 to 3600000"))
+			.anyMatch((problem) -> problem.contains("'plane' is not a kind of service; did you mean 'plain'?"))
+			.anyMatch((problem) -> problem.contains("'short' is not a SHA-256"))
+			.anyMatch((problem) -> problem.contains("'whin-lm' is not known; did you mean 'whin-llm'?"))
+			.anyMatch((problem) -> problem.contains("'pao' is not known; did you mean 'poa'?"))
+			.anyMatch((problem) -> problem.contains("wieght: is not known; did you mean 'weight'?"))
+			.anyMatch((problem) -> problem.contains("team: is not known; did you mean 'teams'?"));
 	}
 
 	@Test
-	void aTeamWithoutAnyPlaceIsAFault() throws IOException {
-		assertThat(faults(GOOD.replace("places = [\"poa\"]", "places = []")))
-			.anyMatch((fault) -> fault.contains("permits no place"));
+	void aTeamWithoutAnyPlaceIsReported() throws IOException {
+		assertThat(problems(VALID.replace("places = [\"poa\"]", "places = []")))
+			.anyMatch((problem) -> problem.contains("permits no place"));
 	}
 
 	@Test
-	void aFileThatIsNotTomlNamesTheLine() throws IOException {
-		assertThat(faults("[places\n")).singleElement().asString().contains("base.toml: line 1: is not TOML");
+	void aTomlSyntaxErrorIsReportedWithItsLine() throws IOException {
+		assertThat(problems("[places\n")).singleElement().asString().contains("base.toml: line 1: is not TOML");
 	}
 
 	private Configuration valid(String text) throws IOException {
@@ -116,7 +116,7 @@
 		return ((Checked.Valid) checked).configuration();
 	}
 
-	private List<String> faults(String text) throws IOException {
+	private List<String> problems(String text) throws IOException {
 		Checked checked = ConfigurationReader.readFiles(write("base.toml", text), List.of());
 		assertThat(checked).isInstanceOf(Checked.Invalid.class);
 		return ((Checked.Invalid) checked).problems().stream().map(Problem::toString).toList();
