--- a/whinjunction-core/src/main/java/io/whinjunction/explain/DecisionLog.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/explain/DecisionLog.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Remembers, for the newest requests, why they went where or why they were refused.
+ * Records the routing decisions of the newest requests, and the reasons of refusals.
  * <p>
- * Invariant: bounded; holds no prompt, answer or key. Safe for all threads.
+ * Invariant: bounded; contains no prompt, answer or key. Thread-safe.
  */
 public final class DecisionLog {
 
@@ -22,18 +22,18 @@
 	};
 
 	/**
-	 * Remembers.
+	 * Records a decision.
 	 * @param requestId the request
-	 * @param json what was decided and why
+	 * @param json the decision and its reason
 	 */
 	public synchronized void put(String requestId, String json) {
 		this.decisions.put(requestId, json);
 	}
 
 	/**
-	 * Recalls.
+	 * Returns the decision of a request.
 	 * @param requestId the request
-	 * @return the decision, or {@code null} where it is not remembered here
+	 * @return the decision, or {@code null} if none is recorded
 	 */
 	public synchronized String find(String requestId) {
 		return this.decisions.get(requestId);
--- a/whinjunction-core/src/main/java/io/whinjunction/explain/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/explain/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Why a request went where it went.
+ * Explanations of routing decisions.
  */
 package io.whinjunction.explain;
--- a/whinjunction-core/src/main/java/io/whinjunction/log/LineLog.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/log/LineLog.java
@@ -14,22 +14,25 @@
 import java.util.logging.Logger;
 
 /**
- * Log lines of {@code key=value} pairs on standard output, for small instances: it starts
- * in a few milliseconds and never blocks who logs.
+ * Writes log lines of {@code key=value} pairs to standard output, for small instances. It
+ * starts in a few milliseconds and never blocks the logging thread.
  * <p>
- * The failure it is there for: whoever reads the log stands still, the pipe fills, and a
- * write on the event loop would stop all requests. Lines go through a bounded queue to a
- * writer of its own; where the queue is full they are dropped and counted.
+ * Guards against a stalled log reader: the pipe fills, and a write on the event loop
+ * would block all requests. Lines pass through a bounded queue to a dedicated writer
+ * thread; if the queue is full they are dropped and counted.
  * <p>
- * Invariant: at most {@link #CAPACITY} lines wait. Safe for all threads.
+ * Invariant: at most {@link #CAPACITY} lines are queued. Thread-safe.
  */
 public final class LineLog extends Handler {
 
-	/** Lines of a busy router for longer than a reader usually stands still. */
+	/** Holds the lines of a busy router for longer than a reader usually stalls. */
 	private static final int CAPACITY = 2048;
 
-	/** Lines wait this long for others, in milliseconds, to be written in one call. */
-	private static final long GATHER_MS = 100;
+	/**
+	 * How long a line waits for further ones, in milliseconds, so that they are written
+	 * in one call.
+	 */
+	private static final long BATCH_MS = 100;
 
 	private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(CAPACITY);
 
@@ -43,7 +46,7 @@
 	}
 
 	/**
-	 * Takes over all logging of the process.
+	 * Installs this handler for all logging of the process.
 	 * @return the log
 	 */
 	public static LineLog install() {
@@ -55,15 +58,15 @@
 		root.setLevel(Level.WARNING);
 		Logger.getLogger("io.whinjunction").setLevel(Level.INFO);
 		root.addHandler(log);
-		Thread writer = new Thread(log::write, "log-writer");
+		Thread writer = new Thread(log::writeLines, "log-writer");
 		writer.setDaemon(true);
 		writer.start();
 		return log;
 	}
 
 	/**
-	 * Lines that were dropped because too many waited.
-	 * @return how many since the start
+	 * Returns the number of lines dropped because the queue was full.
+	 * @return the number since the start
 	 */
 	public long dropped() {
 		return this.dropped.get();
@@ -89,18 +92,18 @@
 
 	@Override
 	public synchronized void flush() {
-		StringBuilder gathered = new StringBuilder();
+		StringBuilder batch = new StringBuilder();
 		String line = this.lines.poll();
 		while (line != null) {
-			gathered.append(line);
+			batch.append(line);
 			line = this.lines.poll();
 		}
 		try {
-			this.out.write(gathered.toString().getBytes(StandardCharsets.UTF_8));
+			this.out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
 		}
 		catch (IOException ex) {
-			// Standard output is gone, and with it the only place to say so; the counter
-			// is on the metrics address.
+			// Standard output is closed, so the failure cannot be logged; the counter is
+			// available on the metrics address.
 			this.dropped.incrementAndGet();
 		}
 	}
@@ -110,11 +113,11 @@
 		flush();
 	}
 
-	private void write() {
+	private void writeLines() {
 		try {
 			while (true) {
 				String first = this.lines.take();
-				Thread.sleep(GATHER_MS);
+				Thread.sleep(BATCH_MS);
 				this.out.write(first.getBytes(StandardCharsets.UTF_8));
 				flush();
 			}
--- a/whinjunction-core/src/main/java/io/whinjunction/log/Logs.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/log/Logs.java
@@ -4,8 +4,9 @@
 import org.apache.logging.log4j.core.config.Configurator;
 
 /**
- * Log lines as JSON on standard error, through Flogger. Lines name requests, teams,
- * services, places and outcomes, never a prompt, an answer or a key. Stateless.
+ * Configures logging as JSON on standard error, through Flogger. Lines contain requests,
+ * teams, services, places and outcomes, but never a prompt, an answer or a key.
+ * Stateless.
  */
 public final class Logs {
 
@@ -13,7 +14,7 @@
 	}
 
 	/**
-	 * Sends Flogger to the back end; called before the first log line.
+	 * Selects Flogger's back end; must be called before the first log line.
 	 */
 	public static void initialize() {
 		System.setProperty("flogger.backend_factory",
@@ -21,9 +22,9 @@
 	}
 
 	/**
-	 * Changes the level while the process runs.
-	 * @param level for example {@code debug}
-	 * @return whether there is such a level
+	 * Changes the log level at run time.
+	 * @param level the name of the level, for example {@code debug}
+	 * @return whether the level exists
 	 */
 	public static boolean setLevel(String level) {
 		Level parsed = Level.toLevel(level, null);
--- a/whinjunction-core/src/main/java/io/whinjunction/log/TimestampFormatter.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/log/TimestampFormatter.java
@@ -3,28 +3,28 @@
 import java.time.Instant;
 
 /**
- * Writes the times of log lines, in milliseconds.
+ * Formats the timestamps of log lines, with milliseconds.
  * <p>
- * Formatting a time costs more than the rest of a line. All but its milliseconds is kept
- * from one line to the next, and formatted again only in another second. Safe for all
- * threads: what is kept is replaced as a whole.
+ * Formatting a timestamp costs more than the rest of a line. The text up to the second is
+ * therefore cached and formatted again only when the second changes. Thread-safe: the
+ * cached value is replaced as a whole.
  */
 final class TimestampFormatter {
 
 	private static final int NS_PER_MS = 1_000_000;
 
-	private volatile Second kept = Second.of(0);
+	private volatile Second cached = Second.of(0);
 
 	/**
-	 * Appends a time.
-	 * @param line where to
+	 * Appends a timestamp to a line.
+	 * @param line the line
 	 * @param instant the time
 	 */
 	void append(StringBuilder line, Instant instant) {
-		Second second = this.kept;
+		Second second = this.cached;
 		if (second.epochSecond() != instant.getEpochSecond()) {
 			second = Second.of(instant.getEpochSecond());
-			this.kept = second;
+			this.cached = second;
 		}
 		int ms = instant.getNano() / NS_PER_MS;
 		line.append(second.text()).append('.');
@@ -33,9 +33,9 @@
 	}
 
 	/**
-	 * The text of a second. Immutable.
+	 * The text of one second. Immutable.
 	 *
-	 * @param epochSecond the second, since 1970
+	 * @param epochSecond the seconds since 1970
 	 * @param text date and time without a fraction
 	 */
 	private record Second(long epochSecond, String text) {
--- a/whinjunction-core/src/main/java/io/whinjunction/log/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/log/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Log lines as JSON.
+ * Log output as JSON or as {@code key=value} lines.
  */
 package io.whinjunction.log;
--- a/whinjunction-core/src/main/java/io/whinjunction/loss/LogLine.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/loss/LogLine.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /**
- * One structured line of a router's log. Immutable.
+ * A structured line of a router's log. Immutable.
  *
  * @param fields the values by key, without quotes
  */
@@ -20,9 +20,9 @@
 	}
 
 	/**
-	 * Reads a line.
-	 * @param text the line, with whatever a collector has put before it
-	 * @return the line, or empty where it names no event
+	 * Parses a line.
+	 * @param text the line, including any prefix added by a log collector
+	 * @return the parsed line, or empty if it contains no event
 	 */
 	static Optional<LogLine> parse(String text) {
 		if (!text.contains("event=")) {
@@ -41,9 +41,9 @@
 	}
 
 	/**
-	 * A number.
+	 * Returns a field as a number.
 	 * @param key the field
-	 * @return its value, or -1 where it is missing or no number
+	 * @return its value, or -1 if it is missing or not a number
 	 */
 	long number(String key) {
 		try {
--- a/whinjunction-core/src/main/java/io/whinjunction/loss/LossAnalyzer.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/loss/LossAnalyzer.java
@@ -9,65 +9,65 @@
 import java.util.Set;
 
 /**
- * Reads routers' logs and tells which requests were not on time, each with one cause and
- * its evidence.
+ * Finds the requests in routers' logs that were not answered on time, each with one cause
+ * and its evidence.
  * <p>
  * Requests that never reached a router, or whose router was killed before they ended,
- * leave no line and are not in it; a router's {@code event=started} shows when that may
- * have been. Denied requests and callers that left early are no losses. Confined to one
- * thread.
+ * leave no log line and are not included; a router's {@code event=started} shows when
+ * that may have happened. Denied requests and requests whose caller disconnected early
+ * are not losses. Confined to one thread.
  */
 public final class LossAnalyzer {
 
-	/** Attempts and detours of requests that have not ended yet. */
-	private final Map<String, Trail> trails = new HashMap<>();
+	/** The attempts and detours of requests that have not ended yet, by request. */
+	private final Map<String, RequestHistory> histories = new HashMap<>();
 
 	private final List<Loss> losses = new ArrayList<>();
 
 	private long requests;
 
 	/**
-	 * Takes the next line of a router's log.
-	 * @param text the line; others than structured ones are passed over
+	 * Reads the next line of a router's log.
+	 * @param text the line; unstructured lines are ignored
 	 */
 	public void read(String text) {
-		LogLine.parse(text).ifPresent(this::take);
+		LogLine.parse(text).ifPresent(this::process);
 	}
 
-	private void take(LogLine line) {
+	private void process(LogLine line) {
 		switch (line.text("event")) {
-			case "attempt" -> trail(line).attempt(line);
-			case "detour" -> trail(line).detours++;
-			case "request" -> ended(line, this.trails.remove(line.text("id")));
+			case "attempt" -> history(line).attempt(line);
+			case "detour" -> history(line).detours++;
+			case "request" -> recordEnd(line, this.histories.remove(line.text("id")));
 			default -> {
-				// Other events say nothing of a single request.
+				// Other events do not concern a single request.
 			}
 		}
 	}
 
-	private Trail trail(LogLine line) {
-		return this.trails.computeIfAbsent(line.text("id"), (id) -> new Trail());
+	private RequestHistory history(LogLine line) {
+		return this.histories.computeIfAbsent(line.text("id"), (id) -> new RequestHistory());
 	}
 
-	private void ended(LogLine line, Trail trail) {
+	private void recordEnd(LogLine line, RequestHistory history) {
 		if (line.text("outcome").equals("denied") || line.text("outcome").equals("gone")) {
 			return;
 		}
 		this.requests++;
-		cause(line, (trail != null) ? trail : new Trail())
+		cause(line, (history != null) ? history : new RequestHistory())
 			.ifPresent((cause) -> this.losses.add(new Loss(line.text("id"), line.text("time"), line.text("kind"), cause,
 					line.text("domain"), evidence(line))));
 	}
 
-	private static Optional<LossCause> cause(LogLine line, Trail trail) {
+	private static Optional<LossCause> cause(LogLine line, RequestHistory history) {
 		return switch (line.text("outcome")) {
-			case "answered" -> onTime(line) ? Optional.empty() : Optional.of(lateBecause(line, trail));
+			case "answered" -> onTime(line) ? Optional.empty() : Optional.of(causeOfDelay(line, history));
 			case "refused" -> Optional.of(LossCause.REFUSED);
 			case "failed-upstream" -> Optional.of(LossCause.UPSTREAM_FAILED);
-			case "failed" -> Optional
-				.of(line.text("reason").equals("timeout") ? LossCause.OUT_OF_TIME : trail.cause(LossCause.ANSWER_LOST));
-			case "broken" -> Optional
-				.of(line.text("reason").equals("deadline") ? LossCause.OUT_OF_TIME : trail.cause(LossCause.BROKEN_OFF));
+			case "failed" -> Optional.of(line.text("reason").equals("timeout") ? LossCause.OUT_OF_TIME
+					: history.cause(LossCause.ANSWER_LOST));
+			case "broken" -> Optional.of(line.text("reason").equals("deadline") ? LossCause.OUT_OF_TIME
+					: history.cause(LossCause.BROKEN_OFF));
 			default -> Optional.of(LossCause.NOT_ATTRIBUTED);
 		};
 	}
@@ -85,8 +85,8 @@
 		return line.number("gap-aim-ms") <= 0 || line.number("gap-ms") <= line.number("gap-aim-ms");
 	}
 
-	private static LossCause lateBecause(LogLine line, Trail trail) {
-		return trail.cause(firstOnTime(line) ? LossCause.SLOW_PAUSE : LossCause.FIRST_LATE);
+	private static LossCause causeOfDelay(LogLine line, RequestHistory history) {
+		return history.cause(firstOnTime(line) ? LossCause.SLOW_PAUSE : LossCause.FIRST_LATE);
 	}
 
 	private static String evidence(LogLine line) {
@@ -96,7 +96,7 @@
 	}
 
 	/**
-	 * How many requests ended, those on time included.
+	 * Returns the number of requests that ended, including those on time.
 	 * @return the number
 	 */
 	public long requests() {
@@ -104,38 +104,38 @@
 	}
 
 	/**
-	 * Requests that were not on time, in the order in which they ended.
+	 * Returns the requests that were not on time, in the order in which they ended.
 	 * @return the losses
 	 */
 	public List<Loss> losses() {
 		return List.copyOf(this.losses);
 	}
 
-	/** What happened to a request before it ended; confined to the account. */
-	private static final class Trail {
+	/** What happened to a request before it ended; confined to the analyzer. */
+	private static final class RequestHistory {
 
 		private int detours;
 
-		private final Set<String> ends = new HashSet<>();
+		private final Set<String> outcomes = new HashSet<>();
 
 		private boolean engineLost;
 
 		void attempt(LogLine line) {
-			this.ends.add(line.text("end"));
+			this.outcomes.add(line.text("end"));
 			this.engineLost |= line.text("reason").equals("stalled") || !line.text("faulty").equals("-");
 		}
 
-		LossCause cause(LossCause otherwise) {
+		LossCause cause(LossCause fallback) {
 			if (this.engineLost || this.detours > 0) {
 				return LossCause.ENGINE_LOST;
 			}
-			if (this.ends.contains("Unknown") || this.ends.contains("NotSent")) {
+			if (this.outcomes.contains("Unknown") || this.outcomes.contains("NotSent")) {
 				return LossCause.ANSWER_LOST;
 			}
-			if (this.ends.contains("Failed")) {
+			if (this.outcomes.contains("Failed")) {
 				return LossCause.UPSTREAM_FAILED;
 			}
-			return this.ends.contains("NotRun") ? LossCause.TURNED_AWAY : otherwise;
+			return this.outcomes.contains("NotRun") ? LossCause.TURNED_AWAY : fallback;
 		}
 
 	}
--- a/whinjunction-core/src/main/java/io/whinjunction/loss/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/loss/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What routers' logs say of requests that were not answered on time, and why. Reads only.
+ * Analysis of routers' logs for requests that were not answered on time. Read-only.
  */
 package io.whinjunction.loss;
--- a/whinjunction-core/src/test/java/io/whinjunction/log/TimestampFormatterTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/log/TimestampFormatterTests.java
@@ -9,16 +9,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Times of log lines.
+ * Tests for {@link TimestampFormatter}.
  */
 class TimestampFormatterTests {
 
-	private final TimestampFormatter time = new TimestampFormatter();
+	private final TimestampFormatter formatter = new TimestampFormatter();
 
-	// The time of day may jump back; what was kept of a second must not be written for
-	// another one.
+	// The system clock may jump back; the cached text of one second must not be written
+	// for another.
 	@Test
-	void timesReadBackToTheMillisecondWhereverTheyJump() {
+	void timestampsAreCorrectToTheMillisecondWhenTheClockJumps() {
 		Random random = new Random(3);
 		Instant instant = Instant.parse("2030-02-03T04:05:06.007Z");
 		for (int line = 0; line < 1000; line++) {
@@ -28,13 +28,13 @@
 	}
 
 	@Test
-	void aWholeSecondHasItsMillisecondsToo() {
+	void aFullSecondIsWrittenWithMilliseconds() {
 		assertThat(text(Instant.parse("2030-02-03T04:05:00Z"))).isEqualTo("2030-02-03T04:05:00.000Z");
 	}
 
 	private String text(Instant instant) {
 		StringBuilder line = new StringBuilder();
-		this.time.append(line, instant);
+		this.formatter.append(line, instant);
 		return line.toString();
 	}
 
--- a/whinjunction-core/src/test/java/io/whinjunction/loss/LossAnalyzerTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/loss/LossAnalyzerTests.java
@@ -5,28 +5,28 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a router's log says of requests that were not on time.
+ * Tests for {@link LossAnalyzer}.
  */
 class LossAnalyzerTests {
 
-	private final LossAnalyzer account = new LossAnalyzer();
+	private final LossAnalyzer analyzer = new LossAnalyzer();
 
 	@Test
-	void aRequestOnTimeIsCountedAndIsNoLoss() {
-		this.account.read(stream("r1", 48, 60));
+	void aRequestOnTimeIsCountedButIsNotALoss() {
+		this.analyzer.read(stream("r1", 48, 60));
 
-		assertThat(this.account.requests()).isOne();
-		assertThat(this.account.losses()).isEmpty();
+		assertThat(this.analyzer.requests()).isOne();
+		assertThat(this.analyzer.losses()).isEmpty();
 	}
 
-	// An engine in the middle of a path died; the stream went on by another path, 230 ms
-	// later, where 200 were promised.
+	// An engine in the middle of a path crashed; the stream resumed on another path after
+	// 230 ms, where the target is 200 ms.
 	@Test
-	void aPauseBehindADetourIsALostEngine() {
-		this.account.read("time=t level=INFO event=detour id=r1 faulty=10.0.0.1:80 hops=9 reply=\"Accepted[]\"");
-		this.account.read(stream("r1", 48, 230));
+	void aPauseAfterADetourIsAttributedToTheLostEngine() {
+		this.analyzer.read("time=t level=INFO event=detour id=r1 faulty=10.0.0.1:80 hops=9 reply=\"Accepted[]\"");
+		this.analyzer.read(stream("r1", 48, 230));
 
-		assertThat(this.account.losses()).singleElement().satisfies((loss) -> {
+		assertThat(this.analyzer.losses()).singleElement().satisfies((loss) -> {
 			assertThat(loss.cause()).isEqualTo(LossCause.ENGINE_LOST);
 			assertThat(loss.domain()).isEqualTo("b");
 			assertThat(loss.evidence()).contains("gap-ms=230/200");
@@ -34,57 +34,57 @@
 	}
 
 	@Test
-	void aLateFirstEventBehindALostAnswerIsThatAnswer() {
-		this.account.read("time=t event=attempt id=r1 end=Unknown reason=\"connection ended without an answer\" "
+	void aLateFirstEventAfterALostAnswerIsAttributedToThatAnswer() {
+		this.analyzer.read("time=t event=attempt id=r1 end=Unknown reason=\"connection ended without an answer\" "
 				+ "upstream=e faulty=- hops=9 left-ms=19000");
-		this.account.read(stream("r1", 1048, 60));
+		this.analyzer.read(stream("r1", 1048, 60));
 
 		assertThat(cause()).isEqualTo(LossCause.ANSWER_LOST);
 	}
 
 	@Test
-	void aPauseWithNothingBeforeItIsASlowOne() {
-		this.account.read(stream("r1", 48, 260));
+	void aPauseWithoutAFailureBeforeItIsASlowPause() {
+		this.analyzer.read(stream("r1", 48, 260));
 
 		assertThat(cause()).isEqualTo(LossCause.SLOW_PAUSE);
 	}
 
 	@Test
-	void aLateFirstEventWithNothingBeforeItIsReadingOrAQueue() {
-		this.account.read(stream("r1", 700, 60));
+	void aLateFirstEventWithoutAFailureBeforeItIsFirstLate() {
+		this.analyzer.read(stream("r1", 700, 60));
 
 		assertThat(cause()).isEqualTo(LossCause.FIRST_LATE);
 	}
 
 	@Test
 	void aRefusalKeepsItsReason() {
-		this.account.read("event=request id=r1 outcome=refused reason=no-upstream kind=STREAMING domain=- sent=0");
+		this.analyzer.read("event=request id=r1 outcome=refused reason=no-upstream kind=STREAMING domain=- sent=0");
 
 		assertThat(cause()).isEqualTo(LossCause.REFUSED);
-		assertThat(this.account.losses().getFirst().evidence()).contains("reason=no-upstream");
+		assertThat(this.analyzer.losses().getFirst().evidence()).contains("reason=no-upstream");
 	}
 
 	@Test
-	void theTrailOfOneRequestIsNotTakenForAnothers() {
-		this.account.read("event=attempt id=r1 end=Unknown reason=stalled faulty=10.0.0.1:80");
-		this.account.read(stream("r2", 48, 260));
+	void theHistoryOfOneRequestDoesNotAffectAnother() {
+		this.analyzer.read("event=attempt id=r1 end=Unknown reason=stalled faulty=10.0.0.1:80");
+		this.analyzer.read(stream("r2", 48, 260));
 
 		assertThat(cause()).isEqualTo(LossCause.SLOW_PAUSE);
 	}
 
 	@Test
-	void deniedRequestsAndCallersThatLeftAreNoLosses() {
-		this.account.read("event=request id=r1 outcome=denied reason=no-route");
-		this.account.read("event=request id=r2 outcome=gone reason=caller-gone");
-		this.account.read("no structured line at all");
+	void deniedRequestsAndDisconnectedCallersAreNotLosses() {
+		this.analyzer.read("event=request id=r1 outcome=denied reason=no-route");
+		this.analyzer.read("event=request id=r2 outcome=gone reason=caller-gone");
+		this.analyzer.read("no structured line at all");
 
-		assertThat(this.account.requests()).isZero();
-		assertThat(this.account.losses()).isEmpty();
+		assertThat(this.analyzer.requests()).isZero();
+		assertThat(this.analyzer.losses()).isEmpty();
 	}
 
 	private LossCause cause() {
-		assertThat(this.account.losses()).hasSize(1);
-		return this.account.losses().getFirst().cause();
+		assertThat(this.analyzer.losses()).hasSize(1);
+		return this.analyzer.losses().getFirst().cause();
 	}
 
 	private static String stream(String id, long firstMs, long gapMs) {
