--- a/whinjunction-core/src/main/java/io/whinjunction/metrics/EntryMetrics.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/metrics/EntryMetrics.java
@@ -11,8 +11,8 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * The entry's metrics. Label sets are bounded by the configuration: teams, services and a
- * few fixed words, never a request or a caller. Safe for all threads.
+ * The metrics of an entry. Label values are bounded by the configuration: teams, services
+ * and a few fixed words, never a request or a caller. Thread-safe.
  */
 public final class EntryMetrics {
 
@@ -24,7 +24,7 @@
 		.labelNames("service", "team", "outcome", "code")
 		.register(this.registry);
 
-	private final Counter attempts = Counter.builder()
+	private final Counter retries = Counter.builder()
 		.name("whin_retries_total")
 		.help("Further attempts after a failed one")
 		.labelNames("service")
@@ -51,38 +51,38 @@
 		.register(this.registry);
 
 	/**
-	 * A request ended.
+	 * Counts a completed request.
 	 * @param service the service, or {@code none}
 	 * @param team the team, or {@code none}
-	 * @param outcome the outcome's word
-	 * @param code the refusal's word, or {@code ok}
+	 * @param outcome the outcome label
+	 * @param code the refusal code, or {@code ok}
 	 */
 	public void requestCompleted(String service, String team, String outcome, String code) {
 		this.requests.labelValues(service, team, outcome, code).inc();
 	}
 
 	/**
-	 * Further attempts were made.
+	 * Counts further attempts after a failed one.
 	 * @param service the service
-	 * @param count how many
+	 * @param count the number of attempts
 	 */
 	public void retried(String service, int count) {
 		if (count > 0) {
-			this.attempts.labelValues(service).inc(count);
+			this.retries.labelValues(service).inc(count);
 		}
 	}
 
 	/**
-	 * Tokens were given out.
+	 * Counts tokens sent to callers.
 	 * @param service the service
-	 * @param count how many
+	 * @param count the number of tokens
 	 */
 	public void tokens(String service, int count) {
 		this.tokens.labelValues(service).inc(count);
 	}
 
 	/**
-	 * A first token left.
+	 * Records the latency of a first token.
 	 * @param service the service
 	 * @param tookMs milliseconds since the request's arrival
 	 */
@@ -91,8 +91,8 @@
 	}
 
 	/**
-	 * Sets a part of the state.
-	 * @param kind which
+	 * Sets a gauge of the entry's state.
+	 * @param kind the kind of state
 	 * @param value its value
 	 */
 	public void state(String kind, double value) {
@@ -100,8 +100,8 @@
 	}
 
 	/**
-	 * The text that Prometheus reads.
-	 * @return the exposition format
+	 * Returns the metrics in the Prometheus text format.
+	 * @return the encoded text
 	 */
 	public byte[] text() {
 		ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/whinjunction-core/src/main/java/io/whinjunction/tls/TlsFiles.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/tls/TlsFiles.java
@@ -18,16 +18,16 @@
 import io.whinjunction.time.Ticker;
 
 /**
- * TLS from PEM files that are read again when they change.
+ * TLS contexts from PEM files that are reloaded when they change.
  * <p>
- * Invariant: a pair of files that cannot be read never replaces one that could; the old
- * one stays in use and the fault is logged. Safe for all threads.
+ * Invariant: files that cannot be read never replace valid ones; the previous contexts
+ * stay in use and the error is logged. Thread-safe.
  */
 public final class TlsFiles {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	private static final long LOOK_EVERY_MS = 2000;
+	private static final long CHECK_INTERVAL_MS = 2000;
 
 	private final File certificate;
 
@@ -39,30 +39,30 @@
 
 	private Contexts current;
 
-	private List<Long> readAt;
+	private List<Long> loadedTimestamps;
 
-	private long lookedAtMs;
+	private long checkedAtMs;
 
 	/**
 	 * Reads the files.
 	 * @param certificate the certificate chain, PEM
 	 * @param key its private key, PEM, PKCS #8
-	 * @param authority whom to trust between processes, PEM
+	 * @param authority the certificates trusted between processes, PEM
 	 * @param ticker the clock
-	 * @throws SSLException where they cannot be read
+	 * @throws SSLException if they cannot be read
 	 */
 	public TlsFiles(File certificate, File key, File authority, Ticker ticker) throws SSLException {
 		this.certificate = certificate;
 		this.key = key;
 		this.authority = authority;
 		this.ticker = ticker;
-		this.readAt = modified();
+		this.loadedTimestamps = modificationTimes();
 		this.current = read();
-		this.lookedAtMs = ticker.nowMs();
+		this.checkedAtMs = ticker.nowMs();
 	}
 
 	/**
-	 * For callers' connections: a server that offers HTTP/2 and HTTP/1.1.
+	 * Returns the context for callers' connections, which offers HTTP/2 and HTTP/1.1.
 	 * @return the context of the newest readable files
 	 */
 	public SslContext forCallers() {
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * For connections between processes, both sides proving themselves.
+	 * Returns the context for connections between processes, with mutual authentication.
 	 * @return the context of the newest readable files
 	 */
 	public SSLContext forPeers() {
@@ -79,29 +79,31 @@
 
 	private synchronized Contexts current() {
 		long nowMs = this.ticker.nowMs();
-		if (nowMs - this.lookedAtMs >= LOOK_EVERY_MS) {
-			this.lookedAtMs = nowMs;
+		if (nowMs - this.checkedAtMs >= CHECK_INTERVAL_MS) {
+			this.checkedAtMs = nowMs;
 			reload();
 		}
 		return this.current;
 	}
 
 	private void reload() {
-		List<Long> now = modified();
-		if (now.equals(this.readAt)) {
+		List<Long> now = modificationTimes();
+		if (now.equals(this.loadedTimestamps)) {
 			return;
 		}
 		try {
 			this.current = read();
-			this.readAt = now;
-			logger.atInfo().log("TLS files read again");
+			this.loadedTimestamps = now;
+			logger.atInfo().log("TLS files reloaded");
 		}
 		catch (SSLException | IllegalArgumentException ex) {
-			logger.atSevere().withCause(ex).log("TLS files changed but cannot be read; the old ones stay in use");
+			logger.atSevere()
+				.withCause(ex)
+				.log("TLS files changed but cannot be read; the previous certificates stay in use");
 		}
 	}
 
-	private List<Long> modified() {
+	private List<Long> modificationTimes() {
 		return List.of(this.certificate.lastModified(), this.key.lastModified(), this.authority.lastModified());
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/tls/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/tls/package-info.java
@@ -1,4 +1,4 @@
 /**
- * TLS from PEM files.
+ * TLS contexts from PEM files.
  */
 package io.whinjunction.tls;
--- a/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/trace/Tracing.java
@@ -19,9 +19,9 @@
 import io.opentelemetry.sdk.trace.export.BatchSpanProcessor;
 
 /**
- * Spans for each hop, joined to the caller's {@code traceparent}. Attributes name
- * requests, teams and upstreams, never a caller's data, so that a trace may be kept
- * anywhere. Safe for all threads.
+ * Creates a span for each hop, linked to the caller's {@code traceparent}. Attributes
+ * contain requests, teams and upstreams but never a caller's data, so that traces may be
+ * stored anywhere. Thread-safe.
  */
 public final class Tracing implements AutoCloseable {
 
@@ -43,9 +43,9 @@
 	}
 
 	/**
-	 * Tracing that exports by OTLP, or nowhere.
-	 * @param instance this process's name
-	 * @param otlpEndpoint where to export, or empty for nowhere
+	 * Creates tracing that exports spans by OTLP, if an endpoint is given.
+	 * @param instance the name of this process
+	 * @param otlpEndpoint the endpoint to export to, or empty for no export
 	 * @return the tracing
 	 */
 	public static Tracing create(String instance, String otlpEndpoint) {
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	 * Tracing through a processor of one's own.
-	 * @param instance this process's name
-	 * @param processor where spans go
+	 * Creates tracing with a custom span processor.
+	 * @param instance the name of this process
+	 * @param processor receives the spans
 	 * @return the tracing
 	 */
 	public static Tracing with(String instance, SpanProcessor processor) {
@@ -73,7 +73,7 @@
 	}
 
 	/**
-	 * Begins the caller's leg.
+	 * Starts the server span of a caller's request.
 	 * @param name the span's name
 	 * @param headers the caller's headers, names in lower case
 	 * @return the span
@@ -84,24 +84,24 @@
 	}
 
 	/**
-	 * Begins a part of a span.
-	 * @param parent the span
-	 * @param name the part's name
-	 * @return the part
+	 * Starts a child span.
+	 * @param parent the parent span
+	 * @param name the span's name
+	 * @return the child span
 	 */
 	public Span startChildSpan(Span parent, String name) {
 		return this.tracer.spanBuilder(name).setParent(Context.root().with(parent)).startSpan();
 	}
 
 	/**
-	 * Records a hop that has already ended.
+	 * Records a hop that has already completed.
 	 * @param parent the request's span
-	 * @param name the hop's name
-	 * @param attributes what is said of it
-	 * @param durationMs how long it took
-	 * @param well whether it ended well
+	 * @param name the span's name
+	 * @param attributes the span's attributes
+	 * @param durationMs its duration, in milliseconds
+	 * @param successful whether it completed successfully
 	 */
-	public void recordHop(Span parent, String name, Attributes attributes, double durationMs, boolean well) {
+	public void recordHop(Span parent, String name, Attributes attributes, double durationMs, boolean successful) {
 		long endNs = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
 		Span span = this.tracer.spanBuilder(name)
 			.setParent(Context.root().with(parent))
@@ -109,14 +109,14 @@
 			.setStartTimestamp(endNs - (long) (durationMs * 1e6), TimeUnit.NANOSECONDS)
 			.setAllAttributes(attributes)
 			.startSpan();
-		span.setStatus(well ? StatusCode.OK : StatusCode.ERROR);
+		span.setStatus(successful ? StatusCode.OK : StatusCode.ERROR);
 		span.end(endNs, TimeUnit.NANOSECONDS);
 	}
 
 	/**
-	 * The headers that join a further hop to a span.
+	 * Adds the headers that link a further hop to a span.
 	 * @param span the span
-	 * @param headers where to put them
+	 * @param headers the map to add them to
 	 */
 	public void inject(Span span, Map<String, String> headers) {
 		W3CTraceContextPropagator.getInstance().inject(Context.root().with(span), headers, SETTER);
--- a/whinjunction-core/src/main/java/io/whinjunction/trace/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/trace/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Spans for each hop.
+ * Tracing with a span for each hop.
  */
 package io.whinjunction.trace;
--- a/whinjunction-core/src/test/java/io/whinjunction/architecture/SlicesTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/architecture/SlicesTests.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Keeps slices from reaching into each other and decisions free of the network.
+ * Checks that packages have no cyclic dependencies and that decision code depends on
+ * neither the network nor the system clock.
  */
 class SlicesTests {
 
@@ -22,7 +23,7 @@
 	}
 
 	@Test
-	void decisionsKnowNoNetworkAndNoClockOfTheirOwn() {
+	void decisionPackagesUseNeitherTheNetworkNorTheSystemClock() {
 		ArchRuleDefinition.noClasses()
 			.that()
 			.resideInAnyPackage("..outcome..", "..configuration..", "..place..", "..membership..", "..limit..",
@@ -38,7 +39,7 @@
 	}
 
 	@Test
-	void onlyThePeerSliceSpeaksThrift() {
+	void onlyThePeerSliceUsesThrift() {
 		ArchRuleDefinition.noClasses()
 			.that()
 			.resideOutsideOfPackages("..peer..", "..protocol..")
--- a/whinjunction-core/src/test/java/io/whinjunction/trace/TracingTests.java
+++ b/whinjunction-core/src/test/java/io/whinjunction/trace/TracingTests.java
@@ -29,9 +29,10 @@
 	private final List<SpanData> ended = new ArrayList<>();
 
 	@Test
-	void everyHopIsJoinedToTheCallersTrace() {
-		try (Tracing tracing = Tracing.with("entry-1", new Collecting())) {
-			Span span = tracing.startServerSpan("caller POST", Map.of("traceparent", "00-" + TRACE + "-" + CALLER + "-01"));
+	void everyHopIsLinkedToTheCallersTrace() {
+		try (Tracing tracing = Tracing.with("entry-1", new CollectingProcessor())) {
+			Span span = tracing.startServerSpan("caller POST",
+					Map.of("traceparent", "00-" + TRACE + "-" + CALLER + "-01"));
 			tracing.startChildSpan(span, "admission").end();
 			tracing.recordHop(span, "stage 0-8", Attributes.empty(), 5, false);
 			Map<String, String> headers = new HashMap<>();
@@ -41,17 +42,17 @@
 		}
 		assertThat(this.ended).extracting(SpanData::getName).containsExactly("admission", "stage 0-8", "caller POST");
 		assertThat(this.ended).allMatch((span) -> span.getTraceId().equals(TRACE));
-		SpanData callerLeg = this.ended.get(2);
-		assertThat(callerLeg.getParentSpanId()).isEqualTo(CALLER);
-		assertThat(this.ended.subList(0, 2)).allMatch((span) -> span.getParentSpanId().equals(callerLeg.getSpanId()));
+		SpanData serverSpan = this.ended.get(2);
+		assertThat(serverSpan.getParentSpanId()).isEqualTo(CALLER);
+		assertThat(this.ended.subList(0, 2)).allMatch((span) -> span.getParentSpanId().equals(serverSpan.getSpanId()));
 		assertThat(this.ended.get(1).getStatus().getStatusCode()).isEqualTo(StatusCode.ERROR);
 	}
 
-	private final class Collecting implements SpanProcessor {
+	private final class CollectingProcessor implements SpanProcessor {
 
 		@Override
 		public void onStart(Context context, ReadWriteSpan span) {
-			// Only ended spans count.
+			// Only ended spans are collected.
 		}
 
 		@Override
