--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -95,7 +95,8 @@
 			.put("whin.attempt", hop.attempt())
 			.put("whin.steps", hop.steps())
 			.build();
-		this.parts.tracing().recordHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
+		this.parts.tracing()
+			.recordHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
 	}
 
 	private static Outcome refuse(Exchange exchange, RequestRecord record, Refusal refusal) {
