--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ChannelExchange.java
@@ -50,7 +50,7 @@
 
 	private final Condition writable = this.lock.newCondition();
 
-	private volatile boolean gone;
+	private volatile boolean disconnected;
 
 	private boolean begun;
 
@@ -122,7 +122,7 @@
 	@Override
 	public void abort() {
 		this.ended = true;
-		this.gone = true;
+		this.disconnected = true;
 		this.closing = true;
 		// Queued behind the data already written, so that the caller receives all of it
 		// first.
@@ -130,8 +130,8 @@
 	}
 
 	@Override
-	public boolean gone() {
-		return this.gone;
+	public boolean callerDisconnected() {
+		return this.disconnected;
 	}
 
 	@Override
@@ -149,8 +149,8 @@
 		return this.closing;
 	}
 
-	void markGone() {
-		this.gone = true;
+	void markDisconnected() {
+		this.disconnected = true;
 		signalWritable();
 	}
 
@@ -209,15 +209,15 @@
 		this.lock.lock();
 		try {
 			long remainingNs = TimeUnit.MILLISECONDS.toNanos(MAX_WRITE_WAIT_MS);
-			while (!this.channel.isWritable() && !this.gone && remainingNs > 0) {
+			while (!this.channel.isWritable() && !this.disconnected && remainingNs > 0) {
 				remainingNs = this.writable.awaitNanos(remainingNs);
 			}
 			if (remainingNs <= 0) {
-				this.gone = true;
+				this.disconnected = true;
 			}
 		}
 		catch (InterruptedException ex) {
-			this.gone = true;
+			this.disconnected = true;
 			Thread.currentThread().interrupt();
 		}
 		finally {
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Exchange.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Exchange.java
@@ -5,7 +5,7 @@
 
 /**
  * One request and the means to respond to it. Confined to one thread at a time, except
- * {@link #gone()}, which is thread-safe.
+ * {@link #callerDisconnected()}, which is thread-safe.
  */
 public interface Exchange {
 
@@ -55,6 +55,6 @@
 	 * Returns whether the caller has disconnected.
 	 * @return {@code true} once the response is no longer read
 	 */
-	boolean gone();
+	boolean callerDisconnected();
 
 }
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -83,7 +83,7 @@
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
 		if (this.current != null) {
-			this.current.markGone();
+			this.current.markDisconnected();
 		}
 		this.waiting.clear();
 		context.fireChannelInactive();
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -68,7 +68,7 @@
 			}
 			catch (TimeoutException ex) {
 				boolean mayEnd = mayEnd(parts, queue);
-				boolean over = leftMs <= 0 || exchange.gone() || !mayEnd;
+				boolean over = leftMs <= 0 || exchange.callerDisconnected() || !mayEnd;
 				if (over && queue.giveUp(team.name(), waiting)) {
 					return mayEnd
 							? Refusal.temporary(Code.DEADLINE, "The request waited as long as its deadline allows.", 1)
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -152,7 +152,7 @@
 
 		@Override
 		public boolean cancelled() {
-			return this.exchange.gone();
+			return this.exchange.callerDisconnected();
 		}
 
 		@Override
