--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Answers.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ErrorReplies.java
@@ -7,15 +7,16 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * The form of answers that carry no work. Stateless.
+ * Builds the replies and error objects of requests that were refused or failed.
+ * Stateless.
  */
-final class Answers {
+final class ErrorReplies {
 
 	static final String OUTCOME = "whin-outcome";
 
 	static final String REQUEST_ID = "whin-request-id";
 
-	private Answers() {
+	private ErrorReplies() {
 	}
 
 	static Reply refusal(Outcome outcome, Refusal refusal, String requestId) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
@@ -13,17 +13,18 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Gathers what is said about one request when it ends: a log line, metrics, the span's
- * end and the entry in the decision log. Confined to the request's thread.
+ * Collects the data of one request and reports it when the request ends: as a log line,
+ * in metrics, in the trace span and in the decision log. Confined to the request's
+ * thread.
  */
 final class RequestRecord {
 
 	private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-	/** Bounds the line; the decision log holds all stages. */
-	private static final int MOST_FAILED_LOGGED = 16;
+	/** Limits the length of the log line; the decision log has all stages. */
+	private static final int MAX_FAILED_LOGGED = 16;
 
-	private final EntryParts parts;
+	private final EntryContext context;
 
 	private final String requestId;
 
@@ -33,7 +34,7 @@
 
 	private final ArrayNode hops = Json.MAPPER.createArrayNode();
 
-	/** The stages that failed, with the kind of their end. */
+	/** The failed stages, each with the kind of its end. */
 	private String failed = "";
 
 	private String team = "none";
@@ -42,11 +43,11 @@
 
 	private long revision;
 
-	RequestRecord(EntryParts parts, String requestId, Span span) {
-		this.parts = parts;
+	RequestRecord(EntryContext context, String requestId, Span span) {
+		this.context = context;
 		this.requestId = requestId;
 		this.span = span;
-		this.startedAtMs = parts.ticker().nowMs();
+		this.startedAtMs = context.ticker().nowMs();
 	}
 
 	String requestId() {
@@ -84,8 +85,8 @@
 		}
 		this.failed = taken.stream()
 			.filter((hop) -> !hop.end().equals("ok"))
-			.limit(MOST_FAILED_LOGGED)
-			.map((hop) -> hop.upstream() + " after " + hop.steps() + " steps: " + kind(hop.end()))
+			.limit(MAX_FAILED_LOGGED)
+			.map((hop) -> hop.upstream() + " after " + hop.steps() + " steps: " + endKind(hop.end()))
 			.collect(Collectors.joining("; "));
 	}
 
@@ -96,14 +97,14 @@
 			case Outcome.Unknown unknown -> unknown.refusal();
 		};
 		String code = (refusal != null) ? refusal.code().wireName() : "ok";
-		long tookMs = this.parts.ticker().nowMs() - this.startedAtMs;
-		this.parts.metrics().requestCompleted(this.service, this.team, outcome.headerValue(), code);
+		long tookMs = this.context.ticker().nowMs() - this.startedAtMs;
+		this.context.metrics().requestCompleted(this.service, this.team, outcome.headerValue(), code);
 		this.span.setAttribute("whin.outcome", outcome.headerValue()).setAttribute("whin.code", code);
 		this.span.end();
 		ObjectNode node = Json.object();
 		node.put("request_id", this.requestId);
-		node.put("entry", this.parts.settings().id());
-		node.put("failure_domain", this.parts.settings().failureDomain());
+		node.put("entry", this.context.settings().id());
+		node.put("failure_domain", this.context.settings().failureDomain());
 		node.put("team", this.team);
 		node.put("service", this.service);
 		node.put("revision", this.revision);
@@ -112,20 +113,21 @@
 		node.put("why", (refusal != null) ? refusal.sentence() : "");
 		node.put("took_ms", tookMs);
 		node.set("hops", this.hops);
-		this.parts.decisions().put(this.requestId, node.toString());
+		this.context.decisions().put(this.requestId, node.toString());
 		logger.atInfo()
 			.log("request %s team=%s service=%s failure_domain=%s outcome=%s code=%s took_ms=%d hops=%d failed=\"%s\"",
-					this.requestId, this.team, this.service, this.parts.settings().failureDomain(),
+					this.requestId, this.team, this.service, this.context.settings().failureDomain(),
 					outcome.headerValue(), code, tookMs, this.hops.size(), this.failed);
 	}
 
 	/**
-	 * What of an end may be logged. An engine's refusal is its own text and may quote the
-	 * caller's prompt, which the line must not hold; the decision log has it.
-	 * @param end a hop's end: the kind, where a text follows with a colon between
+	 * Returns the part of a hop's end that may be logged. The refusal of an engine is
+	 * free text and may quote the caller's prompt, which must not appear in the log line;
+	 * the decision log has the full text.
+	 * @param end the end of a hop: its kind, optionally followed by a colon and a text
 	 * @return the kind
 	 */
-	static String kind(String end) {
+	static String endKind(String end) {
 		int colon = end.indexOf(':');
 		return (colon < 0) ? end : end.substring(0, colon);
 	}
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/BadInputTests.java
@@ -8,7 +8,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Bad input gets a clear 4xx and leaves the connections of others alone.
+ * Tests that invalid input gets a clear 4xx and does not affect the connections of other
+ * callers.
  */
 class BadInputTests {
 
@@ -29,12 +30,12 @@
 
 	@AfterEach
 	void othersAreServed() {
-		assertThat(HttpProbe.draft(port, "key-1", "x", 1, false).status()).isEqualTo(200);
+		assertThat(HttpTestClient.draft(port, "key-1", "x", 1, false).status()).isEqualTo(200);
 	}
 
 	@Test
-	void anUnknownKeyIsToldHowToSendOne() {
-		HttpProbe.Answer answer = HttpProbe.draft(port, "nobody", "x", 1, false);
+	void anUnknownKeyIsRefusedAndTheExpectedHeaderNamed() {
+		HttpTestClient.Response answer = HttpTestClient.draft(port, "nobody", "x", 1, false);
 		assertThat(answer.status()).isEqualTo(401);
 		assertThat(answer.body()).contains("unknown-key").contains("authorization: Bearer KEY");
 		assertThat(answer.outcome()).isEqualTo("not-run");
@@ -42,7 +43,7 @@
 
 	@Test
 	void anUnknownModelNamesTheNearestOne() {
-		HttpProbe.Answer answer = body("{\"model\":\"whin-lm\",\"prompt\":\"x\"}");
+		HttpTestClient.Response answer = body("{\"model\":\"whin-lm\",\"prompt\":\"x\"}");
 		assertThat(answer.status()).isEqualTo(404);
 		assertThat(answer.body()).contains("did you mean 'whin-llm'?");
 	}
@@ -59,7 +60,8 @@
 
 	@Test
 	void deepNestingIsRefusedWithoutQuotingTheBody() {
-		HttpProbe.Answer answer = body("{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
+		HttpTestClient.Response answer = body(
+				"{\"prompt\":" + "[".repeat(5000) + "\"secret\"" + "]".repeat(5000) + "}");
 		assertThat(answer.status()).isEqualTo(400);
 		assertThat(answer.body()).contains("nested deeper than 32").doesNotContain("secret");
 	}
@@ -73,7 +75,7 @@
 
 	@Test
 	void aLongPromptIsRefused() {
-		assertBad(HttpProbe.draftBody("x".repeat(10_001), 1, false), "at most 10000 are taken");
+		assertBad(HttpTestClient.draftBody("x".repeat(10_001), 1, false), "at most 10000 are taken");
 	}
 
 	@Test
@@ -86,65 +88,68 @@
 		assertThat(post("x-large: " + "y".repeat(9000), "{}")).startsWith("HTTP/1.1 400");
 	}
 
-	// Two lengths let one reader end the body where another goes on: the rest of one
-	// caller's body would be read as the next caller's request.
+	// Guards against request smuggling: with two lengths one reader ends the body where
+	// another continues, and the rest of the body of one caller would be read as the
+	// request of the next.
 	@Test
-	void conflictingLengthsAreRefusedAndTheConnectionEnds() {
+	void conflictingLengthsAreRefusedAndTheConnectionIsClosed() {
 		assertThat(post("content-length: 2\r\ncontent-length: 40", "{}GET /smuggled HTTP/1.1\r\nhost: x\r\n\r\n"))
 			.startsWith("HTTP/1.1 400")
 			.doesNotContain("smuggled")
-			.satisfies(BadInputTests::isOneAnswer);
+			.satisfies(BadInputTests::isSingleResponse);
 		assertThat(post("content-length: 2\r\ntransfer-encoding: chunked",
 				"0\r\n\r\nGET /smuggled HTTP/1.1\r\nhost: x\r\n\r\n"))
 			.startsWith("HTTP/1.1 400")
 			.contains("Both content-length and transfer-encoding are given")
-			.satisfies(BadInputTests::isOneAnswer);
+			.satisfies(BadInputTests::isSingleResponse);
 		assertThat(post("transfer-encoding: xchunked", "0\r\n\r\n")).startsWith("HTTP/1.1 400")
-			.satisfies(BadInputTests::isOneAnswer);
+			.satisfies(BadInputTests::isSingleResponse);
 		assertThat(post("content-length: +2", "{}")).startsWith("HTTP/1.1 400");
 	}
 
-	// A client on a kept connection would read a body after the answer to HEAD as the
-	// beginning of its next answer; the encoder by itself does not know the method.
+	// On a kept connection a client would read a body after the response to HEAD as the
+	// beginning of the next response. The encoder does not know the method of the
+	// request.
 	@Test
-	void anAnswerToHeadHasNoBody() {
+	void aResponseToHeadHasNoBody() {
 		String head = "HEAD /v2/x HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-1\r\n";
-		assertThat(HttpProbe.raw(port, head + "\r\n" + head + "connection: close\r\n\r\n").split("HTTP/1.1 404", -1))
+		assertThat(
+				HttpTestClient.raw(port, head + "\r\n" + head + "connection: close\r\n\r\n").split("HTTP/1.1 404", -1))
 			.hasSize(3)
 			.allMatch((part) -> part.isEmpty() || part.endsWith("\r\n\r\n"));
 	}
 
-	// A sender that never ends its request would hold the connection and its buffer.
+	// A sender that never completes its request would hold the connection and its buffer.
 	@Test
-	void aSlowSenderIsEndedWithAnAnswer() {
+	void aSlowSenderIsRefusedAndItsConnectionIsClosed() {
 		assertThat(post("content-length: 100", "{\"model\"")).startsWith("HTTP/1.1 408").contains("too-slow");
 	}
 
 	@Test
 	void anUnknownPathNamesTheKnownOnes() {
-		HttpProbe.Answer answer = HttpProbe.get(port, "/v2/x", "authorization", "Bearer key-1");
+		HttpTestClient.Response answer = HttpTestClient.get(port, "/v2/x", "authorization", "Bearer key-1");
 		assertThat(answer.status()).isEqualTo(404);
 		assertThat(answer.body()).contains("/v1/completions");
 	}
 
 	private static void assertBad(String body, String sentence) {
-		HttpProbe.Answer answer = body(body);
+		HttpTestClient.Response answer = body(body);
 		assertThat(answer.status()).isEqualTo(400);
 		assertThat(answer.body()).contains("bad-request").contains(sentence);
 		assertThat(answer.outcome()).isEqualTo("not-run");
 	}
 
-	private static HttpProbe.Answer body(String body) {
-		return HttpProbe.post(port, "/v1/completions", body, "authorization", "Bearer key-1");
+	private static HttpTestClient.Response body(String body) {
+		return HttpTestClient.post(port, "/v1/completions", body, "authorization", "Bearer key-1");
 	}
 
 	private static String post(String header, String body) {
-		return HttpProbe.raw(port,
+		return HttpTestClient.raw(port,
 				"POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer key-1\r\n"
 						+ header + "\r\n\r\n" + body);
 	}
 
-	private static void isOneAnswer(String text) {
+	private static void isSingleResponse(String text) {
 		assertThat(text.split("HTTP/1.1 ", -1)).hasSize(2);
 	}
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2Probe.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/Http2TestClient.java
@@ -30,9 +30,9 @@
 import io.netty.handler.codec.http2.Http2StreamFrameToHttpObjectCodec;
 
 /**
- * A caller that speaks HTTP/2 by prior knowledge, several streams on one connection.
+ * HTTP/2 client for tests, by prior knowledge, with several streams on one connection.
  */
-final class Http2Probe implements AutoCloseable {
+final class Http2TestClient implements AutoCloseable {
 
 	private final EventLoopGroup group;
 
@@ -40,13 +40,13 @@
 
 	private final CompletableFuture<Http2Error> goAway;
 
-	private Http2Probe(EventLoopGroup group, Channel connection, CompletableFuture<Http2Error> goAway) {
+	private Http2TestClient(EventLoopGroup group, Channel connection, CompletableFuture<Http2Error> goAway) {
 		this.group = group;
 		this.connection = connection;
 		this.goAway = goAway;
 	}
 
-	static Http2Probe connect(int port) throws InterruptedException {
+	static Http2TestClient connect(int port) throws InterruptedException {
 		CompletableFuture<Http2Error> goAway = new CompletableFuture<>();
 		EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 		Channel connection = new Bootstrap().group(group)
@@ -72,12 +72,12 @@
 			.connect("127.0.0.1", port)
 			.sync()
 			.channel();
-		return new Http2Probe(group, connection, goAway);
+		return new Http2TestClient(group, connection, goAway);
 	}
 
 	/**
-	 * With what the server asked for no more streams on this connection.
-	 * @return completes when it asks
+	 * Returns a future for the error code of the GOAWAY frame of the server.
+	 * @return completes when the frame arrives
 	 */
 	CompletableFuture<Http2Error> goAway() {
 		return this.goAway;
@@ -99,8 +99,8 @@
 			.getNow();
 		stream.channel = channel;
 		DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-				"/v1/completions",
-				Unpooled.wrappedBuffer(HttpProbe.draftBody(prompt, tokens, true).getBytes(StandardCharsets.UTF_8)));
+				"/v1/completions", Unpooled
+					.wrappedBuffer(HttpTestClient.draftBody(prompt, tokens, true).getBytes(StandardCharsets.UTF_8)));
 		request.headers().set("host", "x").set("authorization", "Bearer " + key);
 		channel.writeAndFlush(request).sync();
 		return stream;
@@ -113,7 +113,7 @@
 	}
 
 	/**
-	 * One stream's answer as it comes.
+	 * The response on one stream, as received so far.
 	 */
 	static final class Stream extends SimpleChannelInboundHandler<HttpObject> {
 
--- a/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpProbe.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/entry/HttpTestClient.java
@@ -20,30 +20,31 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * A caller, for tests: the JDK's client, or raw bytes where the bytes matter.
+ * HTTP client for tests. Uses the client of the JDK, or a plain socket where the exact
+ * bytes matter.
  */
-final class HttpProbe {
+final class HttpTestClient {
 
 	private static final Pattern TOKEN = Pattern.compile("\"text\":\"([^\"]*)\"");
 
 	private static final HttpClient CLIENT = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-	private HttpProbe() {
+	private HttpTestClient() {
 	}
 
-	static Answer get(int port, String path, String... headers) {
+	static Response get(int port, String path, String... headers) {
 		return send(HttpRequest.newBuilder(uri(port, path)).GET(), headers);
 	}
 
-	static Answer post(int port, String path, String body, String... headers) {
+	static Response post(int port, String path, String body, String... headers) {
 		return send(HttpRequest.newBuilder(uri(port, path)).POST(HttpRequest.BodyPublishers.ofString(body)), headers);
 	}
 
-	static Answer draft(int port, String key, String prompt, int tokens, boolean stream) {
+	static Response draft(int port, String key, String prompt, int tokens, boolean stream) {
 		return post(port, "/v1/completions", draftBody(prompt, tokens, stream), "authorization", "Bearer " + key);
 	}
 
-	static Answer book(int port, String key, String idempotencyKey, String slot) {
+	static Response book(int port, String key, String idempotencyKey, String slot) {
 		return post(port, "/services/booking-api/bookings", slot, "authorization", "Bearer " + key, "idempotency-key",
 				idempotencyKey);
 	}
@@ -55,10 +56,10 @@
 	}
 
 	/**
-	 * Sends bytes and reads all that comes until the other side closes.
+	 * Sends bytes and reads until the server closes the connection.
 	 * @param port the port
 	 * @param text the bytes, one per character
-	 * @return what came, one character per byte
+	 * @return the received bytes, one character per byte
 	 */
 	static String raw(int port, String text) {
 		try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -83,16 +84,16 @@
 		return tokens;
 	}
 
-	private static Answer send(HttpRequest.Builder request, String... headers) {
+	private static Response send(HttpRequest.Builder request, String... headers) {
 		for (int i = 0; i < headers.length; i += 2) {
 			request.header(headers[i], headers[i + 1]);
 		}
 		try {
 			HttpResponse<String> response = CLIENT.send(request.build(), HttpResponse.BodyHandlers.ofString());
-			return new Answer(response.statusCode(), response.headers().map(), response.body());
+			return new Response(response.statusCode(), response.headers().map(), response.body());
 		}
 		catch (IOException ex) {
-			return new Answer(0, Map.of(), String.valueOf(ex));
+			return new Response(0, Map.of(), String.valueOf(ex));
 		}
 		catch (InterruptedException ex) {
 			throw new IllegalStateException(ex);
@@ -104,13 +105,13 @@
 	}
 
 	/**
-	 * An answer; status 0 where the connection broke.
+	 * A response; its status is 0 if the connection broke.
 	 *
 	 * @param status the status
 	 * @param headers the headers
-	 * @param body the body, or why it is missing
+	 * @param body the body, or the reason why it is missing
 	 */
-	record Answer(int status, Map<String, List<String>> headers, String body) {
+	record Response(int status, Map<String, List<String>> headers, String body) {
 
 		Optional<String> header(String name) {
 			return Optional.ofNullable(this.headers.get(name)).map((values) -> values.get(0));
--- a/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
+++ b/whinjunction-entry/src/test/java/io/whinjunction/promises/AtMostOnceTests.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 import io.whinjunction.once.ActionClaims;
-import io.whinjunction.once.ActionClaims.Claimed;
+import io.whinjunction.once.ActionClaims.ClaimResult;
 import io.whinjunction.once.ActionName;
 import io.whinjunction.once.StoredAnswer;
 import io.whinjunction.platform.ObjectStore;
@@ -21,7 +21,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Promise 4: an action that must not be repeated runs at most once.
+ * Tests promise 4: an action that must not be repeated runs at most once.
  */
 class AtMostOnceTests {
 
@@ -32,56 +32,60 @@
 
 	private final FakeObjectStore store = new FakeObjectStore();
 
-	// The caller repeats its action through several entries at once. Between any two
-	// platform calls of one entry another one runs; writes take effect and lose their
-	// replies, the platform goes down and comes back, entries die after claim or send.
+	// A caller repeats its action through several entries at once. Between any two
+	// platform calls of one entry another entry runs; writes take effect but lose their
+	// replies, the platform becomes unavailable and returns, and entries crash after a
+	// claim or a send.
 	@Property(seed = "81", tries = 3000)
-	void theActionRunsAtMostOnceWhateverEntriesAndThePlatformDo(@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
-		World world = new World(seed);
+	void theActionRunsAtMostOnceUnderFailuresOfEntriesAndThePlatform(
+			@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
+		Simulation simulation = new Simulation(seed);
 		for (int i = 0; i < 6; i++) {
-			world.request();
+			simulation.request();
 		}
-		assertThat(world.runs).hasValueLessThanOrEqualTo(1);
+		assertThat(simulation.runs).hasValueLessThanOrEqualTo(1);
 	}
 
-	// The claim's write took effect but its reply was lost. The entry must know its own
-	// write again, or a booking would be refused for good although nobody runs it.
+	// Guards against a booking that is refused permanently although it never ran: the
+	// write of the claim took effect but its reply was lost. The entry must recognize its
+	// own write.
 	@Test
-	void aClaimWhoseReplyWasLostIsRecognisedAsOnesOwn() {
+	void aClaimWhoseReplyWasLostIsRecognizedByItsEntry() {
 		this.store.fault(Fault.LOST_REPLY_ONCE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
-	// The write took effect, its reply was lost and the platform went down: the caller is
-	// told "not run". When it repeats at the same entry, that entry takes its claim back.
+	// The write took effect, its reply was lost and the platform became unavailable: the
+	// caller receives "not-run". If it repeats the action at the same entry, that entry
+	// reclaims it.
 	@Test
-	void aClaimGivenUpUnsentIsTakenBackByItsOwnEntryOnly() {
+	void anAbandonedUnsentClaimIsReclaimedByItsOwnEntryOnly() {
 		ActionClaims claims = claims("a");
 		this.store.fault(Fault.LOST_REPLY_THEN_OUTAGE);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.StoreDown.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreUnavailable.class);
 		this.store.fault(Fault.NONE);
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
-		assertThat(claims.claim(ACTION, "h")).isInstanceOf(Claimed.InDoubt.class);
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
+		assertThat(claims.claim(ACTION, "h")).isInstanceOf(ClaimResult.InDoubt.class);
 	}
 
 	@Test
-	void aClaimGivenUpUnsentIsSweptSoThatOtherEntriesCanRunTheAction() {
+	void anAbandonedUnsentClaimIsSweptSoThatOtherEntriesCanRunTheAction() {
 		ActionClaims claims = claims("a");
 		this.store.fault(Fault.LOST_REPLY_THEN_OUTAGE);
 		claims.claim(ACTION, "h");
 		this.store.fault(Fault.NONE);
-		claims.sweepGivenUp();
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(Claimed.Mine.class);
+		claims.sweepAbandoned();
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOf(ClaimResult.Acquired.class);
 	}
 
 	@Test
 	void aRepeatReturnsTheFirstAnswer() {
 		ActionClaims claims = claims("a");
-		Claimed.Mine mine = (Claimed.Mine) claims.claim(ACTION, "h");
-		assertThat(claims.answered(mine.claim(), ANSWER)).isTrue();
-		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(Claimed.Answered.class, (answered) -> {
+		ClaimResult.Acquired acquired = (ClaimResult.Acquired) claims.claim(ACTION, "h");
+		assertThat(claims.recordAnswer(acquired.claim(), ANSWER)).isTrue();
+		assertThat(claims("b").claim(ACTION, "h")).isInstanceOfSatisfying(ClaimResult.Answered.class, (answered) -> {
 			assertThat(answered.answer().status()).isEqualTo(201);
 			assertThat(answered.answer().body()).containsExactly(1, 2);
 			assertThat(answered.answer().headers()).containsExactlyElementsOf(ANSWER.headers());
@@ -91,20 +95,20 @@
 	@Test
 	void aKeyUsedWithAnotherBodyIsRefused() {
 		claims("a").claim(ACTION, "h");
-		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(Claimed.OtherBody.class);
+		assertThat(claims("b").claim(ACTION, "other")).isInstanceOf(ClaimResult.BodyMismatch.class);
 	}
 
 	@Test
 	void withThePlatformDownNothingIsClaimed() {
 		this.store.fault(Fault.OUTAGE);
-		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(Claimed.StoreDown.class);
+		assertThat(claims("a").claim(ACTION, "h")).isInstanceOf(ClaimResult.StoreUnavailable.class);
 	}
 
 	@Test
 	void teamsAndServicesDoNotShareKeys() {
 		claims("a").claim(ACTION, "h");
 		assertThat(claims("a").claim(new ActionName("other", "booking-api", "friday-20h"), "h"))
-			.isInstanceOf(Claimed.Mine.class);
+			.isInstanceOf(ClaimResult.Acquired.class);
 	}
 
 	private ActionClaims claims(String entry) {
@@ -114,9 +118,9 @@
 	}
 
 	/**
-	 * Entries that repeat one action on one platform.
+	 * Several entries that receive the same action and share one platform.
 	 */
-	private static final class World {
+	private static final class Simulation {
 
 		private static final int MAX_DEPTH = 4;
 
@@ -132,9 +136,9 @@
 
 		private int depth;
 
-		World(int seed) {
+		Simulation(int seed) {
 			this.random = new Random(seed);
-			ObjectStore interleaved = new InterleavedStore(this.store, this::disturb);
+			ObjectStore interleaved = new InterleavedStore(this.store, this::injectFaults);
 			for (int i = 0; i < 3; i++) {
 				this.entries.add(entry(interleaved));
 			}
@@ -144,35 +148,35 @@
 			int index = this.random.nextInt(this.entries.size());
 			ActionClaims claims = this.entries.get(index);
 			switch (claims.claim(ACTION, "h")) {
-				case Claimed.Mine mine -> send(index, claims, mine);
-				case Claimed.Answered ignored -> assertThat(this.runs).hasValue(1);
+				case ClaimResult.Acquired acquired -> send(index, claims, acquired);
+				case ClaimResult.Answered ignored -> assertThat(this.runs).hasValue(1);
 				default -> {
 				}
 			}
 		}
 
-		private void send(int index, ActionClaims claims, Claimed.Mine mine) {
+		private void send(int index, ActionClaims claims, ClaimResult.Acquired acquired) {
 			switch (this.random.nextInt(5)) {
-				case 0 -> die(index);
+				case 0 -> crash(index);
 				case 1 -> {
-					claims.release(mine.claim());
+					claims.release(acquired.claim());
 				}
 				case 2 -> {
 					this.runs.incrementAndGet();
-					die(index);
+					crash(index);
 				}
 				default -> {
 					this.runs.incrementAndGet();
-					claims.answered(mine.claim(), ANSWER);
+					claims.recordAnswer(acquired.claim(), ANSWER);
 				}
 			}
 		}
 
-		private void die(int index) {
-			this.entries.set(index, entry(new InterleavedStore(this.store, this::disturb)));
+		private void crash(int index) {
+			this.entries.set(index, entry(new InterleavedStore(this.store, this::injectFaults)));
 		}
 
-		private void disturb() {
+		private void injectFaults() {
 			if (this.random.nextInt(3) == 0) {
 				this.store.fault(Fault.values()[this.random.nextInt(Fault.values().length)]);
 			}
@@ -182,7 +186,7 @@
 					request();
 				}
 				else {
-					this.entries.get(this.random.nextInt(this.entries.size())).sweepGivenUp();
+					this.entries.get(this.random.nextInt(this.entries.size())).sweepAbandoned();
 				}
 				this.depth--;
 			}
