--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/CallerHandler.java
@@ -94,7 +94,7 @@
 		ThreadLocalRandom.current().nextBytes(id);
 		Map<String, String> headers = new HashMap<>();
 		request.headers().forEach((header) -> headers.putIfAbsent(header.getKey(), header.getValue()));
-		Span span = this.context.tracing().callerLeg("caller " + request.method(), headers);
+		Span span = this.context.tracing().startServerSpan("caller " + request.method(), headers);
 		return new RequestRecord(this.context, "r-" + HexFormat.of().formatHex(id), span);
 	}
 
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/DraftHandler.java
@@ -48,7 +48,7 @@
 			return refuse(exchange, record, Gate.unknownService(passed, body.model()));
 		}
 		record.service(model.name());
-		Span admission = this.context.tracing().part(record.span(), "admission");
+		Span admission = this.context.tracing().startChildSpan(record.span(), "admission");
 		Refusal refusal = Admission.enter(this.context, this.context.drafts(), passed.team(), model.answerDeadlineMs(),
 				exchange);
 		admission.end();
@@ -96,7 +96,7 @@
 			.put("whin.steps", hop.steps())
 			.build();
 		this.context.tracing()
-			.endedHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
+			.recordHop(parent, "stage " + hop.range(), attributes, hop.millis(), hop.end().equals("ok"));
 	}
 
 	private static Outcome refuse(Exchange exchange, RequestRecord record, Refusal refusal) {
@@ -153,7 +153,7 @@
 
 		@Override
 		public boolean cancelled() {
-			return this.exchange.gone();
+			return this.exchange.callerDisconnected();
 		}
 
 		@Override
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/RequestRecord.java
@@ -98,7 +98,7 @@
 		};
 		String code = (refusal != null) ? refusal.code().wireName() : "ok";
 		long tookMs = this.context.ticker().nowMs() - this.startedAtMs;
-		this.context.metrics().ended(this.service, this.team, outcome.headerValue(), code);
+		this.context.metrics().requestCompleted(this.service, this.team, outcome.headerValue(), code);
 		this.span.setAttribute("whin.outcome", outcome.headerValue()).setAttribute("whin.code", code);
 		this.span.end();
 		ObjectNode node = Json.object();
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/ServiceHandler.java
@@ -107,7 +107,7 @@
 		ActionName action = new ActionName(call.passed.team().name(), call.service.name(), key);
 		String bodyHash = ActionName.sha256(request.method().getBytes(StandardCharsets.UTF_8),
 				call.target.getBytes(StandardCharsets.UTF_8), request.body());
-		Span span = this.context.tracing().part(call.record.span(), "claim");
+		Span span = this.context.tracing().startChildSpan(call.record.span(), "claim");
 		ClaimResult claimed = this.context.claims().claim(action, bodyHash);
 		span.end();
 		return switch (claimed) {
@@ -215,7 +215,7 @@
 		call.record.hops(List.of(new Hop(1, upstream.id(), upstream.failureDomain(), null, 0, 1, tookMs,
 				succeeded ? "ok" : result.getClass().getSimpleName())));
 		this.context.tracing()
-			.endedHop(call.record.span(), "call " + call.service.name(),
+			.recordHop(call.record.span(), "call " + call.service.name(),
 					Attributes.builder().put("whin.upstream", upstream.id()).build(), tookMs, succeeded);
 		return result;
 	}
