--- a/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/StopAdmission.java
@@ -63,17 +63,17 @@
 	 * @return the judgement
 	 */
 	Judgement judge(StopSchedule schedule, long nowMs, Candidate candidate, long[] inProgressMs,
-			PeerTable.Others others) {
+			PeerTable.ReachablePeers others) {
 		long leftMs = schedule.leftMs(nowMs);
 		double maxOutliving = candidate.repeatable() ? MAX_OUTLIVING_RATIO : MAX_OUTLIVING_RATIO_UNREPEATABLE;
 		RecentDurations durations = this.byFamily.get(candidate.family());
-		boolean known = durations != null && durations.canTell(MAX_OUTLIVING_RATIO);
-		double outliving = known ? durations.partOver(leftMs, inProgressMs) : -1;
+		boolean known = durations != null && durations.canEstimate(MAX_OUTLIVING_RATIO);
+		double outliving = known ? durations.ratioLongerThan(leftMs, inProgressMs) : -1;
 		boolean inTime = schedule.servesRequests(nowMs);
 		boolean boundedInTime = candidate.longestMs() <= leftMs;
 		// Recent durations may suffice to reject an attempt but not to admit a late
 		// one.
-		boolean knownWell = known && durations.canTell(maxOutliving) && leftMs >= MIN_LEFT_MS;
+		boolean knownWell = known && durations.canEstimate(maxOutliving) && leftMs >= MIN_LEFT_MS;
 		boolean likelyCompletes = (inTime || knownWell) && outliving <= maxOutliving;
 		boolean mayBeCut = inTime || (candidate.again() && candidate.repeatable());
 		boolean hasNowhereElse = candidate.resumed() || !others.suffice();
@@ -121,7 +121,7 @@
 	 * there are too few
 	 * @param others the peers
 	 */
-	record Judgement(boolean begins, long ageMs, long leftMs, double outliving, PeerTable.Others others) {
+	record Judgement(boolean begins, long ageMs, long leftMs, double outliving, PeerTable.ReachablePeers others) {
 	}
 
 }
--- a/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/UpstreamLimits.java
@@ -139,7 +139,7 @@
 	private double share(String upstream, double perSecond) {
 		double used = Math.max(MIN_PER_SECOND, USED_RATIO * perSecond);
 		int senders = MIN_SENDERS + (int) Math.min(Integer.MAX_VALUE / 2, SENDERS_PER_LIMIT * used);
-		return used * this.router.peers().partOf(upstream.hashCode(), senders, this.router.nowMs());
+		return used * this.router.peers().shareOf(upstream.hashCode(), senders, this.router.nowMs());
 	}
 
 	/**
