--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/DiffCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/DiffCommand.java
@@ -9,7 +9,7 @@
 import io.whinjunction.platform.ObjectStore.Read;
 
 /**
- * Shows what applying files would change.
+ * Shows what applying configuration files would change.
  */
 @Command(name = "diff", description = "Shows what applying the files would change; " + ExitCode.HELP)
 public final class DiffCommand extends FilesCommand {
@@ -22,7 +22,7 @@
 		}
 		Read read = store().read(Manifest.KEY);
 		if (read instanceof Read.Unavailable unavailable) {
-			problem("the platform did not answer: " + unavailable.reason());
+			printError("the platform did not answer: " + unavailable.reason());
 			return ExitCode.UNAVAILABLE;
 		}
 		Manifest manifest = (read instanceof Read.Found found) ? Manifest.parse(found.value()) : null;
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/LossesCommand.java
@@ -16,53 +16,57 @@
 import com.github.rvesse.airline.annotations.Option;
 import com.github.rvesse.airline.annotations.restrictions.AllowedRawValues;
 import io.whinjunction.loss.Loss;
-import io.whinjunction.loss.LossAccount;
+import io.whinjunction.loss.LossAnalyzer;
 
 /**
- * Tells from routers' logs which requests were not on time, and why: the morning after,
- * without asking any process.
+ * Reports from router logs which requests were not served on time, and why. It contacts
+ * no process, so that an incident can be analysed from its logs alone.
  */
-@Command(name = "losses", description = "Tells from routers' logs why requests were not on time; " + ExitCode.HELP)
+@Command(name = "losses",
+		description = "Reports from router logs why requests were not served on time; " + ExitCode.HELP)
 public final class LossesCommand extends WhinCommand {
 
-	/** Up to the second of a time such as {@code 2026-05-14T17:15:00.213Z}. */
-	private static final int SECOND_LENGTH = 19;
+	/**
+	 * The length of a timestamp such as {@code 2026-05-14T17:15:00.213Z} up to seconds.
+	 */
+	private static final int TIMESTAMP_SECONDS_LENGTH = 19;
 
-	@Arguments(title = "FILE", description = "Logs of routers, one or more")
+	@Arguments(title = "FILE", description = "One or more router logs")
 	private List<String> files = new ArrayList<>();
 
-	@Option(name = "--by", title = "GROUP", description = "cause, kind, domain, second or request; default cause")
+	@Option(name = "--by", title = "GROUP",
+			description = "Group by cause, kind, domain, second or request; default cause")
 	@AllowedRawValues(allowedValues = { "cause", "kind", "domain", "second", "request" })
 	private String by = "cause";
 
 	@Override
 	ExitCode execute() {
 		if (this.files.isEmpty()) {
-			throw new UsageException("a router's log is needed: whin losses FILE...");
+			throw new UsageException("at least one router log is needed: whin losses FILE...");
 		}
-		LossAccount account = new LossAccount();
+		LossAnalyzer account = new LossAnalyzer();
 		for (String file : this.files) {
 			read(account, file);
 		}
 		if (this.by.equals("request")) {
-			print(List.of("time", "request", "kind", "cause", "domain", "evidence"), requests(account));
+			printRows(List.of("time", "request", "kind", "cause", "domain", "evidence"), requests(account));
 		}
 		else {
-			print(List.of(this.by, "losses", "of-100-requests"), groups(account));
+			printRows(List.of(this.by, "losses", "of-100-requests"), groups(account));
 		}
 		return ExitCode.OK;
 	}
 
-	private static void read(LossAccount account, String file) {
+	private static void read(LossAnalyzer account, String file) {
 		try (Stream<String> lines = Files.lines(Path.of(file))) {
 			lines.forEach(account::read);
 		}
 		catch (IOException ex) {
-			throw new UsageException(file + " can't be read: " + ex.getMessage());
+			throw new UsageException("cannot read " + file + ": " + ex.getMessage());
 		}
 	}
 
-	private static List<Map<String, Object>> requests(LossAccount account) {
+	private static List<Map<String, Object>> requests(LossAnalyzer account) {
 		List<Map<String, Object>> rows = new ArrayList<>();
 		for (Loss loss : account.losses()) {
 			Map<String, Object> row = new LinkedHashMap<>();
@@ -77,7 +81,7 @@
 		return rows;
 	}
 
-	private List<Map<String, Object>> groups(LossAccount account) {
+	private List<Map<String, Object>> groups(LossAnalyzer account) {
 		Map<String, Integer> counts = new TreeMap<>();
 		account.losses().forEach((loss) -> counts.merge(group().apply(loss), 1, Integer::sum));
 		List<Map<String, Object>> rows = new ArrayList<>();
@@ -98,7 +102,8 @@
 		return switch (this.by) {
 			case "kind" -> Loss::kind;
 			case "domain" -> Loss::domain;
-			case "second" -> (loss) -> loss.time().substring(0, Math.min(SECOND_LENGTH, loss.time().length()));
+			case "second" ->
+				(loss) -> loss.time().substring(0, Math.min(TIMESTAMP_SECONDS_LENGTH, loss.time().length()));
 			default -> (loss) -> loss.cause().name();
 		};
 	}
--- a/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
+++ b/whinjunction-cli/src/main/java/io/whinjunction/cli/UpstreamsCommand.java
@@ -9,9 +9,9 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * Lists upstreams as an entry sees them.
+ * Lists the upstreams known to each entry.
  */
-@Command(name = "upstreams", description = "Lists upstreams as the given entries see them; " + ExitCode.HELP)
+@Command(name = "upstreams", description = "Lists the upstreams known to the given entries; " + ExitCode.HELP)
 public final class UpstreamsCommand extends WhinCommand {
 
 	private static final List<String> COLUMNS = List.of("entry", "id", "service", "failure_domain", "layers",
@@ -22,9 +22,9 @@
 		List<Map<String, Object>> rows = new ArrayList<>();
 		ExitCode code = ExitCode.OK;
 		for (String entry : entries()) {
-			JsonNode upstreams = ask(entry, "/upstreams");
+			JsonNode upstreams = get(entry, "/upstreams");
 			if (upstreams == null) {
-				problem(entry + " did not answer");
+				printError(entry + " did not answer");
 				code = ExitCode.UNAVAILABLE;
 				continue;
 			}
@@ -36,7 +36,7 @@
 			}
 		}
 		rows.sort((left, right) -> (left.get("id").toString()).compareTo(right.get("id").toString()));
-		print(COLUMNS, rows);
+		printRows(COLUMNS, rows);
 		return code;
 	}
 
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/ExchangeHandler.java
@@ -15,11 +15,13 @@
 import io.netty.handler.codec.http2.Http2Error;
 
 /**
- * Hands whole requests to the handler, one at a time per connection, on virtual threads.
+ * Passes complete requests to the handler on virtual threads, one at a time per
+ * connection.
  * <p>
- * Invariant: answers leave in the order of their requests, since a pipelined request
- * waits until the one before it is answered; after an answer that ends the connection
- * nothing is begun. One per connection or HTTP/2 stream, on its event loop.
+ * Invariant: responses are sent in the order of their requests, because a pipelined
+ * request waits until the previous one has been answered; after a response that closes
+ * the connection no further request is started. One per connection or HTTP/2 stream;
+ * confined to its event loop.
  */
 final class ExchangeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
@@ -30,8 +32,9 @@
 	private static final String STOPPING = "{\"error\":{\"code\":\"stopping\",\"message\":\"This server stops; the request had not arrived whole.\"}}";
 
 	/**
-	 * How long a connection outlives its last answer while its caller still sends, in
-	 * milliseconds: some round trips, in which a caller reads the answer and closes.
+	 * How long a connection stays open after its closing response while the caller still
+	 * sends, in milliseconds. It covers the few round trips in which a caller reads the
+	 * response and closes.
 	 */
 	static final long LINGER_MS = 1000;
 
@@ -47,7 +50,7 @@
 
 	private ChannelExchange current;
 
-	private LastAnswer last;
+	private ClosingReply last;
 
 	private boolean ending;
 
@@ -60,7 +63,7 @@
 
 	@Override
 	protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) {
-		this.guard.arrived();
+		this.guard.requestComplete();
 		if (this.ending) {
 			return;
 		}
@@ -80,7 +83,7 @@
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
 		if (this.current != null) {
-			this.current.markGone();
+			this.current.markDisconnected();
 		}
 		this.waiting.clear();
 		context.fireChannelInactive();
@@ -97,12 +100,12 @@
 	@Override
 	public void userEventTriggered(ChannelHandlerContext context, Object event) {
 		switch (event) {
-			case LastAnswer answer -> end(context, answer);
-			case SlowRequestGuard.TooSlow ignored ->
-				end(context, new LastAnswer(Reply.json(408, TOO_SLOW).with("whin-outcome", "not-run")));
-			case RefuseArriving ignored -> {
-				if (this.guard.arriving()) {
-					end(context, new LastAnswer(
+			case ClosingReply answer -> end(context, answer);
+			case SlowRequestGuard.RequestTimedOut ignored ->
+				end(context, new ClosingReply(Reply.json(408, TOO_SLOW).with("whin-outcome", "not-run")));
+			case RefuseIncomplete ignored -> {
+				if (this.guard.receiving()) {
+					end(context, new ClosingReply(
 							Reply.json(503, STOPPING).with("whin-outcome", "not-run").with("retry-after", "1")));
 				}
 			}
@@ -136,7 +139,8 @@
 
 	private void next(ChannelHandlerContext context) {
 		if (this.current.closing()) {
-			// Whatever came behind must not run: its answer could not be given any more.
+			// Requests received after this one must not run: their responses could no
+			// longer be sent.
 			this.ending = true;
 			this.waiting.clear();
 			return;
@@ -154,8 +158,9 @@
 		}
 	}
 
-	// Written into a running answer it would spoil that one, and be read as its end.
-	private void end(ChannelHandlerContext context, LastAnswer answer) {
+	// A closing reply written into a response in progress would corrupt it and be read as
+	// its end.
+	private void end(ChannelHandlerContext context, ClosingReply answer) {
 		if (this.ending) {
 			return;
 		}
@@ -168,32 +173,32 @@
 		}
 	}
 
-	private void write(ChannelHandlerContext context, LastAnswer answer) {
+	private void write(ChannelHandlerContext context, ClosingReply answer) {
 		if (this.http2) {
-			this.connections.leave(context.channel());
+			this.connections.sendGoAway(context.channel());
 		}
-		ChannelFuture written = context.writeAndFlush(Responses.whole(answer.reply(), true));
-		if (!this.guard.arriving()) {
+		ChannelFuture written = context.writeAndFlush(Responses.full(answer.reply(), true));
+		if (!this.guard.receiving()) {
 			written.addListener(ChannelFutureListener.CLOSE);
 			return;
 		}
 		if (this.http2) {
-			// Closed alone, the stream would be reset as cancelled, which callers
-			// may take for a failure of the answer.
+			// Closing the channel alone would reset the stream as cancelled, which
+			// callers may take for a failed response.
 			written.addListener((sent) -> context.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.NO_ERROR))
 				.addListener(ChannelFutureListener.CLOSE));
 			return;
 		}
-		// The rest of the request is read and dropped. It would reset a connection that
-		// is closed at once, and the caller would see that in place of the answer.
-		this.connections.lingers(context.channel());
+		// The rest of the request is read and dropped. Closing at once would make it
+		// cause a reset, which the caller would see instead of the response.
+		this.connections.addLingering(context.channel());
 		context.executor().schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * The event that refuses a request of which only a part has arrived.
+	 * The event that refuses a request that has been received only in part.
 	 */
-	record RefuseArriving() {
+	record RefuseIncomplete() {
 	}
 
 	private record Pending(Request request, boolean keepAlive) {
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Admission.java
@@ -69,7 +69,7 @@
 			}
 			catch (TimeoutException ex) {
 				boolean canComplete = canComplete(context, queue);
-				boolean over = remainingMs <= 0 || exchange.gone() || !canComplete;
+				boolean over = remainingMs <= 0 || exchange.callerDisconnected() || !canComplete;
 				if (over && queue.cancel(team.name(), waiting)) {
 					return canComplete
 							? Refusal.temporary(Code.DEADLINE, "The request waited as long as its deadline allows.", 1)
