--- a/whinjunction-router/src/main/java/io/whinjunction/router/RestoredListFilter.java
+++ b/whinjunction-router/src/main/java/io/whinjunction/router/RestoredListFilter.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /**
- * Filters the list of a store that was restored from an older copy by the later states
- * of the upstreams that this router has.
+ * Filters the list of a store that was restored from an older copy by the later states of
+ * the upstreams that this router has.
  * <p>
  * Guards against two failures. The copy may show an upstream as serving that has since
  * announced that it leaves, or list one that has gone, and requests would be sent there
