--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The one model of the configuration, its checks and its manifest.
+ * The single model of the configuration, its validation and its manifest.
  */
 package io.whinjunction.configuration;
--- a/whinjunction-core/src/main/java/io/whinjunction/engine/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/engine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Model engines, behind a narrow interface.
+ * A narrow interface to model engines, and its HTTP implementation.
  */
 package io.whinjunction.engine;
--- a/whinjunction-core/src/main/java/io/whinjunction/explain/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/explain/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Why a request went where it went.
+ * Explanations of routing decisions: why a request was routed as it was.
  */
 package io.whinjunction.explain;
--- a/whinjunction-core/src/main/java/io/whinjunction/http/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Outgoing HTTP calls that say whether they were written.
+ * Outgoing HTTP calls that report whether the request was written.
  */
 package io.whinjunction.http;
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The HTTP server: whole requests on virtual threads.
+ * The HTTP server, which handles complete requests on virtual threads.
  */
 package io.whinjunction.http.server;
--- a/whinjunction-core/src/main/java/io/whinjunction/loss/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/loss/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What routers' logs say of requests that were not answered on time, and why. Reads only.
+ * Analysis of routers' logs: which requests were not answered on time, and why.
+ * Read-only.
  */
 package io.whinjunction.loss;
--- a/whinjunction-core/src/main/java/io/whinjunction/metrics/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/metrics/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Metrics with bounded labels.
+ * Metrics whose labels have bounded cardinality.
  */
 package io.whinjunction.metrics;
--- a/whinjunction-core/src/main/java/io/whinjunction/place/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/place/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Where a team's data may be.
+ * Data residency: the places where a team's data may be.
  */
 package io.whinjunction.place;
--- a/whinjunction-core/src/main/java/io/whinjunction/tls/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/tls/package-info.java
@@ -1,4 +1,4 @@
 /**
- * TLS from PEM files.
+ * TLS settings read from PEM files.
  */
 package io.whinjunction.tls;
--- a/whinjunction-core/src/main/java/io/whinjunction/trace/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/trace/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Spans for each hop.
+ * Tracing, with spans for each hop.
  */
 package io.whinjunction.trace;
