--- a/whinjunction-core/src/main/java/io/whinjunction/engine/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/engine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A narrow interface to model engines, and its HTTP implementation.
+ * The client interface of model engines.
  */
 package io.whinjunction.engine;
--- a/whinjunction-core/src/main/java/io/whinjunction/explain/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/explain/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Explanations of routing decisions: why a request was routed as it was.
+ * Explanations of routing decisions.
  */
 package io.whinjunction.explain;
--- a/whinjunction-core/src/main/java/io/whinjunction/http/server/Responses.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/http/server/Responses.java
@@ -13,14 +13,14 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Turns replies into the library's messages. Stateless.
+ * Converts replies to Netty messages. Stateless.
  */
 final class Responses {
 
 	private Responses() {
 	}
 
-	static FullHttpResponse whole(Reply reply, boolean close) {
+	static FullHttpResponse full(Reply reply, boolean close) {
 		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 				HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
 		add(response.headers(), reply.headers());
--- a/whinjunction-core/src/main/java/io/whinjunction/tls/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/tls/package-info.java
@@ -1,4 +1,4 @@
 /**
- * TLS settings read from PEM files.
+ * TLS contexts from PEM files.
  */
 package io.whinjunction.tls;
--- a/whinjunction-core/src/main/java/io/whinjunction/trace/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/trace/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tracing, with spans for each hop.
+ * Tracing with a span for each hop.
  */
 package io.whinjunction.trace;
--- a/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
+++ b/whinjunction-entry/src/main/java/io/whinjunction/entry/Entry.java
@@ -197,10 +197,10 @@
 			.log("entry %s is stopping: %d requests in progress, signal handled %d ms late", this.settings.id(),
 					this.inFlight.count(), handledMs - signalledMs);
 		this.context.gate().setExitDeadline(exitDeadlineMs);
-		this.callers.endConnections();
+		this.callers.drainConnections();
 		this.context.members().leave(this.ticker.nowMs());
 		this.context.gate().rejectRequestsAfter(rejectFromMs - this.ticker.nowMs());
-		this.callers.refuseArriving();
+		this.callers.refuseIncomplete();
 		int left = this.inFlight.awaitNone(exitDeadlineMs - this.ticker.nowMs());
 		if (left > 0) {
 			logger.atSevere()
