--- a/whinjunction-core/src/main/java/io/whinjunction/configuration/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/configuration/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The configuration model, its validation and its manifest.
+ * The single model of the configuration, its validation and its manifest.
  */
 package io.whinjunction.configuration;
--- a/whinjunction-core/src/main/java/io/whinjunction/loss/package-info.java
+++ b/whinjunction-core/src/main/java/io/whinjunction/loss/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Analysis of routers' logs for requests that were not answered on time. Read-only.
+ * Analysis of routers' logs: which requests were not answered on time, and why.
+ * Read-only.
  */
 package io.whinjunction.loss;
